--- /dev/null
+++ b/internal/gossip/carrier/names_test.go
@@ -0,0 +1,25 @@
+package carrier
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+// The names of gossip's counters are derived from the names of fields. Operators and tools match them in the log.
+func TestOuterNamesOfTheCounters(t *testing.T) {
+	const want = "alive suspect dead left sent sent_bytes received replayed strange stale_run own_name stale_claims future_claims " +
+		"claims_full accusations accusations_ignored refutations suspected died revived expelled paused rumours_taken " +
+		"rumours_old rumours_future rumours_strange rumours_known rumours_dropped rumours_made rumours_withdrawn rumours_held " +
+		"borne_out contradicted syncs syncs_failed tells_put_off dropped_form dropped_version dropped_cluster dropped_stranger " +
+		"dropped_tag dropped_signature dropped_expired dropped_authority dropped_budget dropped_queue dropped_oversized " +
+		"dropped_datagrams dropped_streams dropped_streams_failed dropped_unsent"
+	p := newPlace(t)
+	var names []string
+	for _, a := range p.start("a", p.ring("a", time.Hour, p.a), nil).Attrs() {
+		names = append(names, a.Key)
+	}
+	if got := strings.Join(names, " "); got != want {
+		t.Errorf("the counters are named\n%s\nand should be\n%s", got, want)
+	}
+}
