--- a/internal/clientside/accept.go
+++ b/internal/clientside/accept.go
@@ -25,38 +25,38 @@
 
 // What the protocol's pages fix.
 const (
-	acceptFor   = 500 * time.Millisecond  // a planned stop is followed by 0.4 s of arrivals, and a margin
-	linger      = 20 * time.Millisecond   // for which a connection to be closed is still looked at
-	newcomer    = 10 * time.Millisecond   // in which the first bytes of a client that has some to say are here
-	readTimeout = 2500 * time.Millisecond // who has said nothing whole is owed an end 3 s after connecting
-	idleTimeout = 2 * time.Second         // after which a connection that owes nothing may be closed
-	turnedAway  = 16                      // connections beyond maxConns, which leave or are told so
-	longQueue   = 50 * time.Millisecond   // for which there may be connections in the listener's queue
-	maxDrain    = 3 * time.Second         // a planned stop leaves the longest op timeout, but no more than this,
-	killGrace   = 700 * time.Millisecond  // and this before the process is killed
-	farewell    = 150 * time.Millisecond  // which is left for answers to what is given up then
+	stopAcceptPeriod = 500 * time.Millisecond  // a planned stop is followed by 0.4 s of arrivals, and a margin
+	closeGrace       = 20 * time.Millisecond   // for which a connection to be closed is still looked at
+	firstBytesWait   = 10 * time.Millisecond   // in which the first bytes of a client that has some to say are here
+	readTimeout      = 2500 * time.Millisecond // who has said nothing whole is owed an end 3 s after connecting
+	idleTimeout      = 2 * time.Second         // after which a connection that owes nothing may be closed
+	overflowConns    = 16                      // connections beyond maxConns, which leave or are told so
+	maxBacklogAge    = 50 * time.Millisecond   // for which there may be connections in the listener's queue
+	maxDrain         = 3 * time.Second         // a planned stop leaves the longest op timeout, but no more than this,
+	killGrace        = 700 * time.Millisecond  // and this before the process is killed
+	finalReplyTime   = 150 * time.Millisecond  // which is left for answers to what is given up then
 )
 
 // Front is where clients come in.
 type Front struct {
-	clock    exchange.Clock
-	desk     exchange.Desk
-	counts   *counters.Set
-	told     *deployment.Told
-	opTypes  map[string]uint8
-	maxConns int64 // connections at a time
+	clock      exchange.Clock
+	dispatcher exchange.Desk
+	counts     *counters.Set
+	settings   *deployment.Told
+	opTypes    map[string]uint8
+	maxConns   int64 // connections at a time
 
-	closing atomic.Bool // connections are closed between ops
-	mu      sync.Mutex
-	conns   map[*conn]struct{}
-	gone    chan struct{}       // a connection has been closed
-	ids     map[string]struct{} // of the ops that are open
+	stopping   atomic.Bool // connections are closed between ops
+	mu         sync.Mutex
+	conns      map[*conn]struct{}
+	connClosed chan struct{}       // a connection has been closed
+	openIDs    map[string]struct{} // of the ops that are open
 }
 
 // New makes a front for at most maxConns connections.
 func New(clock exchange.Clock, desk exchange.Desk, counts *counters.Set, told *deployment.Told, maxConns int) *Front {
-	f := &Front{clock: clock, desk: desk, counts: counts, told: told, opTypes: map[string]uint8{},
-		maxConns: int64(maxConns), conns: map[*conn]struct{}{}, gone: make(chan struct{}, 1), ids: map[string]struct{}{}}
+	f := &Front{clock: clock, dispatcher: desk, counts: counts, settings: told, opTypes: map[string]uint8{},
+		maxConns: int64(maxConns), conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1), openIDs: map[string]struct{}{}}
 	for i, name := range told.OpTypeNames {
 		f.opTypes[name] = uint8(i)
 	}
@@ -69,13 +69,13 @@
 	var group errgroup.Group
 	stop := context.AfterFunc(ctx, func() {
 		slog.Info("stopping")
-		l.SetDeadline(time.Now().Add(acceptFor))
+		l.SetDeadline(time.Now().Add(stopAcceptPeriod))
 	})
 	err := f.accept(ctx, l, &group)
 	stop()
 	l.Close()
-	f.closing.Store(true)
-	giveUp := time.AfterFunc(f.longest()+killGrace-acceptFor-farewell, f.desk.Stop)
+	f.stopping.Store(true)
+	giveUp := time.AfterFunc(f.longestOpTimeout()+killGrace-stopAcceptPeriod-finalReplyTime, f.dispatcher.Stop)
 	defer giveUp.Stop()
 	f.mu.Lock()
 	for c := range f.conns {
@@ -85,10 +85,10 @@
 	return errors.Join(err, group.Wait())
 }
 
-// longest is the op timeout for which a planned stop waits.
-func (f *Front) longest() time.Duration {
+// longestOpTimeout is the op timeout for which a planned stop waits.
+func (f *Front) longestOpTimeout() time.Duration {
 	var longest time.Duration
-	for _, t := range f.told.OpTypes {
+	for _, t := range f.settings.OpTypes {
 		longest = max(longest, t.Timeout)
 	}
 	return min(longest, maxDrain)
@@ -96,7 +96,7 @@
 
 // accept takes connections until the listener fails, or its time is up after the context's end.
 func (f *Front) accept(ctx context.Context, l *net.TCPListener, group *errgroup.Group) error {
-	queue := &backlog{listener: l, clock: f.clock, emptyAt: f.clock.Now()}
+	queue := &backlog{listener: l, clock: f.clock, lastEmpty: f.clock.Now()}
 	for failing, last := false, false; ; {
 		queue.age()
 		nc, err := l.AcceptTCP()
@@ -107,7 +107,7 @@
 			}
 			// Once more: who waits in the listener's queue has been accepted by the machine, and may have asked.
 			last = true
-			l.SetDeadline(time.Now().Add(linger))
+			l.SetDeadline(time.Now().Add(closeGrace))
 			continue
 		case err != nil && errors.Is(err, net.ErrClosed):
 			return err
@@ -116,24 +116,24 @@
 				slog.Error("accept_failed", "error", err)
 			}
 			failing = true
-			time.Sleep(linger)
+			time.Sleep(closeGrace)
 			continue
 		}
 		failing = false
 		f.counts.ClientConns.Add(1)
 		f.counts.ClientOpen.Add(1)
-		if !f.awaitRoom(queue) { // nobody leaves
+		if !f.awaitAcceptCapacity(queue) { // nobody leaves
 			f.counts.ClientRefused.Add(1)
 			f.counts.ClientOpen.Add(-1)
 			nc.Close()
 			continue
 		}
-		c := &conn{front: f, net: nc, window: pgwire.Window{Most: f.told.LongestMessage}, queue: make(chan reply, queueSize+besides)}
-		c.heard.Store(int64(f.clock.Now()))
+		c := &conn{acceptor: f, net: nc, readBuffer: pgwire.Window{Most: f.settings.LongestMessage}, replies: make(chan reply, maxPendingCommands+extraReplies)}
+		c.lastActivity.Store(int64(f.clock.Now()))
 		f.mu.Lock()
 		f.conns[c] = struct{}{}
 		f.mu.Unlock()
-		f.hasRoom(nil)
+		f.ensureCapacity(nil)
 		group.Go(func() error {
 			c.run()
 			return nil
@@ -141,18 +141,18 @@
 	}
 }
 
-// awaitRoom waits for the moment that those take which are on their way out; false where none leaves in time. While it waits
+// awaitAcceptCapacity waits for the moment that those take which are on their way out; false where none leaves in time. While it waits
 // others wait in the listener's queue, and their time runs unseen: where some always have for long, nobody is waited for, unless
 // most places are held by clients that have said nothing, who leave within moments.
-func (f *Front) awaitRoom(b *backlog) bool {
-	for i := 0; f.counts.ClientOpen.Load() > f.maxConns+turnedAway; i++ {
-		if i >= turnedAway || b.age() >= longQueue && !f.mostlySilent() {
+func (f *Front) awaitAcceptCapacity(b *backlog) bool {
+	for i := 0; f.counts.ClientOpen.Load() > f.maxConns+overflowConns; i++ {
+		if i >= overflowConns || b.age() >= maxBacklogAge && !f.mostlySilent() {
 			return false
 		}
-		f.hasRoom(nil)
+		f.ensureCapacity(nil)
 		select {
-		case <-f.gone:
-		case <-time.After(newcomer):
+		case <-f.connClosed:
+		case <-time.After(firstBytesWait):
 		}
 	}
 	return true
@@ -164,7 +164,7 @@
 	defer f.mu.Unlock()
 	silent := 0
 	for c := range f.conns {
-		if !c.spoke.Load() {
+		if !c.sentCommand.Load() {
 			silent++
 		}
 	}
@@ -173,128 +173,128 @@
 
 // backlog is the listener's queue, as its acceptor sees it.
 type backlog struct {
-	listener *net.TCPListener
-	clock    exchange.Clock
-	emptyAt  time.Duration // when it was last seen empty
+	listener  *net.TCPListener
+	clock     exchange.Clock
+	lastEmpty time.Duration // when it was last seen empty
 }
 
 // age tells for how long there have been connections in the queue, at most.
 func (b *backlog) age() time.Duration {
 	waiting, now := true, b.clock.Now()
 	if raw, err := b.listener.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { waiting = polled(fd, unix.POLLIN) })
+		raw.Control(func(fd uintptr) { waiting = poll(fd, unix.POLLIN) })
 	}
 	if !waiting {
-		b.emptyAt = now
+		b.lastEmpty = now
 	}
-	return now - b.emptyAt
+	return now - b.lastEmpty
 }
 
-// hasRoom tells whether no more connections than maxConns will be open once those have closed that are on their way
+// ensureCapacity tells whether no more connections than maxConns will be open once those have closed that are on their way
 // out. Else it lets those go that have been quiet for longest, of those that are owed nothing and have either been idle for
 // long enough or never said anything of use: clients that keep a connection for good, or connect and say nothing, must
 // not keep out those who ask. The one that asks for room is not among them.
-func (f *Front) hasRoom(forOne *conn) bool {
+func (f *Front) ensureCapacity(forOne *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, stay := f.clock.Now(), int64(0)
 	var quiet []*conn
 	for c := range f.conns {
-		if c.leaving.Load() {
+		if c.evicting.Load() {
 			continue
 		}
 		stay++
-		idle := now - time.Duration(c.heard.Load())
-		if c != forOne && c.owed.Load() == 0 && (idle >= idleTimeout || idle >= newcomer && !c.spoke.Load()) {
+		idle := now - time.Duration(c.lastActivity.Load())
+		if c != forOne && c.pendingReplies.Load() == 0 && (idle >= idleTimeout || idle >= firstBytesWait && !c.sentCommand.Load()) {
 			quiet = append(quiet, c)
 		}
 	}
 	if stay <= f.maxConns {
 		return true
 	}
-	slices.SortFunc(quiet, func(a, b *conn) int { return cmp.Compare(a.heard.Load(), b.heard.Load()) })
+	slices.SortFunc(quiet, func(a, b *conn) int { return cmp.Compare(a.lastActivity.Load(), b.lastActivity.Load()) })
 	for _, c := range quiet[:min(int64(len(quiet)), stay-f.maxConns)] {
 		stay--
 		f.counts.ClientIdleClosed.Add(1)
-		c.leaving.Store(true)
+		c.evicting.Store(true)
 		c.net.SetReadDeadline(exchange.Past)
 	}
 	return stay <= f.maxConns
 }
 
-// findsRoom waits for a moment for room: those who came just before may turn out to have nothing to say.
-func (f *Front) findsRoom(c *conn) bool {
+// awaitSessionCapacity waits for a moment for room: those who came just before may turn out to have nothing to say.
+func (f *Front) awaitSessionCapacity(c *conn) bool {
 	for range 3 {
-		if f.hasRoom(c) {
+		if f.ensureCapacity(c) {
 			return true
 		}
-		time.Sleep(newcomer)
+		time.Sleep(firstBytesWait)
 	}
-	return f.hasRoom(c)
+	return f.ensureCapacity(c)
 }
 
-// opens takes note of an op that is open; false if another of its id is.
-func (f *Front) opens(id string) bool {
+// claimID takes note of an op that is open; false if another of its id is.
+func (f *Front) claimID(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, taken := f.ids[id]; taken {
+	if _, taken := f.openIDs[id]; taken {
 		return false
 	}
-	f.ids[id] = struct{}{}
+	f.openIDs[id] = struct{}{}
 	return true
 }
 
-// closed forgets an op.
-func (f *Front) closed(id string) {
+// releaseID forgets an op.
+func (f *Front) releaseID(id string) {
 	f.mu.Lock()
-	delete(f.ids, id)
+	delete(f.openIDs, id)
 	f.mu.Unlock()
 }
 
 // conn is one client's connection. Its reader owns the window and the list of ops, its answerer the writes.
 type conn struct {
-	front  *Front
-	net    *net.TCPConn
-	window pgwire.Window
-	queue  chan reply // in the order of the commands
-	open   []*exchange.Exchange
-	looked bool         // for a last command, at a planned stop
-	mu     sync.Mutex   // around the reader's going to sleep and its waking
-	paused bool         // the reader waits for an answer to be written
-	owed   atomic.Int32 // replies queued and not written
+	acceptor       *Front
+	net            *net.TCPConn
+	readBuffer     pgwire.Window
+	replies        chan reply // in the order of the commands
+	openOps        []*exchange.Exchange
+	finalReadDone  bool         // for a last command, at a planned stop
+	mu             sync.Mutex   // around the reader's going to sleep and its waking
+	readPaused     bool         // the reader waits for an answer to be written
+	pendingReplies atomic.Int32 // replies queued and not written
 
-	waiting atomic.Int32 // of them, those to commands
-	heard   atomic.Int64 // when the last bytes came or went, a span
-	spoke   atomic.Bool  // a command has come that could be taken
-	leaving atomic.Bool  // it is to make room and has not been heard of since
-	ending  atomic.Bool  // no command is read any more: what was taken is answered, then it is closed
+	pendingCommands atomic.Int32 // of them, those to commands
+	lastActivity    atomic.Int64 // when the last bytes came or went, a span
+	sentCommand     atomic.Bool  // a command has come that could be taken
+	evicting        atomic.Bool  // it is to make room and has not been heard of since
+	readingDone     atomic.Bool  // no command is read any more: what was taken is answered, then it is closed
 }
 
 // run serves the connection until either end closes it. What was taken is answered first, unless the client
 // has gone.
 func (c *conn) run() {
-	f := c.front
+	f := c.acceptor
 	var group errgroup.Group
-	group.Go(c.answer)
+	group.Go(c.writeReplies)
 	why := c.read()
-	if why != errGone {
-		why = c.await(why)
+	if why != errClientGone {
+		why = c.awaitReplies(why)
 	}
-	if why == errGone {
-		for _, x := range c.open {
-			f.desk.Left(x)
+	if why == errClientGone {
+		for _, x := range c.openOps {
+			f.dispatcher.Left(x)
 		}
 	}
-	close(c.queue)
+	close(c.replies)
 	group.Wait()
 	switch { // closing on unread bytes would take back what was just written
-	case why == errProtested:
+	case why == errRejected:
 		c.net.CloseWrite()
-		c.net.SetReadDeadline(time.Now().Add(linger))
+		c.net.SetReadDeadline(time.Now().Add(closeGrace))
 		io.Copy(io.Discard, c.net)
-	case why == errEnds && f.closing.Load(): // a command that crosses this is not to look read
+	case why == errClosing && f.stopping.Load(): // a command that crosses this is not to look read
 		c.net.CloseWrite()
-		time.Sleep(linger)
+		time.Sleep(closeGrace)
 	}
 	c.net.Close()
 	f.mu.Lock()
@@ -302,7 +302,7 @@
 	f.mu.Unlock()
 	f.counts.ClientOpen.Add(-1)
 	select {
-	case f.gone <- struct{}{}:
+	case f.connClosed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/clientside/answer.go
+++ b/internal/clientside/answer.go
@@ -12,61 +12,63 @@
 
 // reply is what one command is answered with: bytes, or how an op ends. What is said beside commands is one too.
 type reply struct {
-	bytes   []byte
-	x       *exchange.Exchange
-	id      string // by which the client knows the op
-	command bool
+	bytes          []byte
+	op             *exchange.Exchange
+	opID           string // by which the client knows the op
+	answersCommand bool
 }
 
-func (c *conn) say(bytes []byte) { c.put(reply{bytes: bytes}) }
+func (c *conn) enqueueBytes(bytes []byte) { c.enqueue(reply{bytes: bytes}) }
 
-// answers is say for a command.
-func (c *conn) answers(bytes []byte) { c.put(reply{bytes: bytes, command: true}) }
+// enqueueCommandReply is say for a command.
+func (c *conn) enqueueCommandReply(bytes []byte) {
+	c.enqueue(reply{bytes: bytes, answersCommand: true})
+}
 
-func (c *conn) put(r reply) {
-	if r.command {
-		c.waiting.Add(1)
+func (c *conn) enqueue(r reply) {
+	if r.answersCommand {
+		c.pendingCommands.Add(1)
 	}
-	c.owed.Add(1)
-	c.queue <- r
+	c.pendingReplies.Add(1)
+	c.replies <- r
 }
 
-// answer writes the replies in order, each with one write. After a write that fails the rest is dropped.
-func (c *conn) answer() error {
+// writeReplies writes the replies in order, each with one write. After a write that fails the rest is dropped.
+func (c *conn) writeReplies() error {
 	var failed error
-	for r := range c.queue {
-		if r.x != nil {
-			<-r.x.Done
-			c.front.closed(r.id)
-			r.bytes = final(r.x)
+	for r := range c.replies {
+		if r.op != nil {
+			<-r.op.Done
+			c.acceptor.releaseID(r.opID)
+			r.bytes = finalReply(r.op)
 		}
 		// A client gets as long to take an answer as a server to take a connection, or all that is left of its time.
-		until := c.front.clock.Now() + c.front.told.ConnectTimeout
-		if r.x != nil {
-			until = max(until, r.x.Due)
+		until := c.acceptor.clock.Now() + c.acceptor.settings.ConnectTimeout
+		if r.op != nil {
+			until = max(until, r.op.Due)
 		}
 		if failed == nil && len(r.bytes) > 0 {
-			c.net.SetWriteDeadline(c.front.clock.Time(until))
+			c.net.SetWriteDeadline(c.acceptor.clock.Time(until))
 			if _, failed = c.net.Write(r.bytes); failed != nil {
 				c.net.Close() // a value that is not whole must not look whole
 			}
 		}
-		c.heard.Store(int64(c.front.clock.Now()))
-		if r.command {
-			c.waiting.Add(-1)
-			c.resume()
+		c.lastActivity.Store(int64(c.acceptor.clock.Now()))
+		if r.answersCommand {
+			c.pendingCommands.Add(-1)
+			c.resumeReading()
 		}
-		owed := c.owed.Add(-1)
+		owed := c.pendingReplies.Add(-1)
 		invariant.Check(owed >= 0, "no more replies are written than are owed")
-		if owed == 0 && (c.ending.Load() || c.front.closing.Load()) {
+		if owed == 0 && (c.readingDone.Load() || c.acceptor.stopping.Load()) {
 			c.net.SetReadDeadline(exchange.Past)
 		}
 	}
 	return errors.Join(failed, c.net.SetWriteDeadline(time.Time{}))
 }
 
-// final is the answer to an op that has ended; none where its client has left.
-func final(x *exchange.Exchange) []byte {
+// finalReply is the answer to an op that has ended; none where its client has left.
+func finalReply(x *exchange.Exchange) []byte {
 	switch x.Outcome {
 	case exchange.Acked:
 		return pgwire.AppendReady(x.Answer)
--- a/internal/clientside/clientside_test.go
+++ b/internal/clientside/clientside_test.go
@@ -22,27 +22,27 @@
 	"gorsewell/internal/standin"
 )
 
-const ask = "SELECT data FROM facts WHERE code = 'k' /* id=1,c=lookup,d=400,cluster=3 */"
+const lookupQuery = "SELECT data FROM facts WHERE code = 'k' /* id=1,c=lookup,d=400,cluster=3 */"
 
-// desk takes ops and ends each as the test says; ops that left come up in left.
-type desk struct {
-	mu    sync.Mutex
-	taken []*exchange.Exchange
-	left  chan *exchange.Exchange
-	end   func(x *exchange.Exchange)
+// fakeDispatcher takes ops and ends each as the test says; ops that left come up in left.
+type fakeDispatcher struct {
+	mu     sync.Mutex
+	taken  []*exchange.Exchange
+	left   chan *exchange.Exchange
+	onTake func(x *exchange.Exchange)
 }
 
-func (d *desk) Take(x *exchange.Exchange) {
+func (d *fakeDispatcher) Take(x *exchange.Exchange) {
 	d.mu.Lock()
 	d.taken = append(d.taken, x)
 	d.mu.Unlock()
-	go d.end(x)
+	go d.onTake(x)
 }
 
-func (d *desk) Left(x *exchange.Exchange) { d.left <- x }
+func (d *fakeDispatcher) Left(x *exchange.Exchange) { d.left <- x }
 
 // Stop gives up what is held.
-func (d *desk) Stop() {
+func (d *fakeDispatcher) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, x := range d.taken {
@@ -52,8 +52,8 @@
 	}
 }
 
-// until waits for what another goroutine brings about.
-func until(t *testing.T, what string, holds func() bool) {
+// waitUntil waits for what another goroutine brings about.
+func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -62,10 +62,10 @@
 	}
 }
 
-// numbered are queries for ops of their own.
-func numbered(n int) (all []byte) {
+// numberedQueries are queries for ops of their own.
+func numberedQueries(n int) (all []byte) {
 	for i := range n {
-		all = pgwire.AppendQuery(all, strings.Replace(ask, "id=1", fmt.Sprintf("id=%d", i), 1))
+		all = pgwire.AppendQuery(all, strings.Replace(lookupQuery, "id=1", fmt.Sprintf("id=%d", i), 1))
 	}
 	return all
 }
@@ -75,19 +75,19 @@
 	close(x.Done)
 }
 
-// id is the name that the client gave the op.
-func id(x *exchange.Exchange) string { return string(x.Statement.(*pgwire.Statement).ID) }
+// opID is the name that the client gave the op.
+func opID(x *exchange.Exchange) string { return string(x.Statement.(*pgwire.Statement).ID) }
 
 func ack(x *exchange.Exchange) {
-	row := standin.Row("v"+id(x), "primary", 1)
+	row := standin.Row("v"+opID(x), "primary", 1)
 	x.Answer = row[:len(row)-6] // without ReadyForQuery, which is the front's to add
 	finish(x, exchange.Acked)
 }
 
-// front serves on a port of its own; stop ends it and waits.
-func front(t *testing.T, most int, end func(*exchange.Exchange)) (f *Front, d *desk, addr string, stop func()) {
+// startAcceptor serves on a port of its own; stop ends it and waits.
+func startAcceptor(t *testing.T, most int, end func(*exchange.Exchange)) (f *Front, d *fakeDispatcher, addr string, stop func()) {
 	t.Helper()
-	d = &desk{left: make(chan *exchange.Exchange, 1024), end: end}
+	d = &fakeDispatcher{left: make(chan *exchange.Exchange, 1024), onTake: end}
 	told := &deployment.Told{OpTypeNames: []string{"lookup", "save"}, ConnectTimeout: 30 * time.Millisecond}
 	told.OpTypes = []choice.OpType{{Timeout: time.Second}, {Timeout: time.Second}}
 	f = New(exchange.StartClock(), d, &counters.Set{}, told, most)
@@ -127,8 +127,8 @@
 
 func TestStartupAndQueryInAnyPieces(t *testing.T) {
 	t.Parallel()
-	_, d, addr, _ := front(t, 8, ack)
-	whole := pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), ask)
+	_, d, addr, _ := startAcceptor(t, 8, ack)
+	whole := pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery)
 	for _, step := range []int{1, 9, len(whole)} {
 		c, err := standin.Open(addr)
 		if err != nil {
@@ -143,7 +143,7 @@
 		expect(t, c, "")
 		expect(t, c, "v1")
 	}
-	if x := d.taken[0]; string(x.Statement.(*pgwire.Statement).Text) != ask || x.OpType != 0 || x.Group != 3 || x.Again ||
+	if x := d.taken[0]; string(x.Statement.(*pgwire.Statement).Text) != lookupQuery || x.OpType != 0 || x.Group != 3 || x.Again ||
 		x.After != choice.LongPast {
 		t.Errorf("%+v", x)
 	}
@@ -151,14 +151,14 @@
 
 func TestAnswersComeInTheOrderOfTheCommands(t *testing.T) {
 	t.Parallel()
-	_, _, addr, _ := front(t, 8, func(x *exchange.Exchange) {
-		if id(x) == "1" {
+	_, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
+		if opID(x) == "1" {
 			time.Sleep(50 * time.Millisecond)
 		}
 		ack(x)
 	})
 	c := dial(t, addr)
-	both := pgwire.AppendQuery(pgwire.AppendQuery(nil, ask), strings.Replace(ask, "id=1", "id=2", 1))
+	both := pgwire.AppendQuery(pgwire.AppendQuery(nil, lookupQuery), strings.Replace(lookupQuery, "id=1", "id=2", 1))
 	if err := c.Say(pgwire.AppendQuery(both, ";")); err != nil {
 		t.Fatal(err)
 	}
@@ -170,16 +170,16 @@
 func TestFinalAnswers(t *testing.T) {
 	t.Parallel()
 	how := exchange.BusyReplied
-	_, _, addr, _ := front(t, 8, func(x *exchange.Exchange) {
+	_, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
 		x.ComeBackIn = 250 * time.Millisecond
 		finish(x, how)
 	})
 	c := dial(t, addr)
-	if got, err := c.Query(ask); err != nil || got != "C53300D250" {
+	if got, err := c.Query(lookupQuery); err != nil || got != "C53300D250" {
 		t.Errorf("busy reply: %q, %v", got, err)
 	}
 	how = exchange.Errored
-	if got, err := c.Query(ask); err != nil || got != "C08007" {
+	if got, err := c.Query(lookupQuery); err != nil || got != "C08007" {
 		t.Errorf("error: %q, %v", got, err)
 	}
 }
@@ -188,12 +188,12 @@
 // counted from when it was queued.
 func TestAnOpThatEndsLateIsStillAnswered(t *testing.T) {
 	t.Parallel()
-	_, _, addr, _ := front(t, 8, func(x *exchange.Exchange) {
+	_, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
 		time.Sleep(80 * time.Millisecond) // beyond its time and the time for a write
 		finish(x, exchange.Errored)
 	})
 	c := dial(t, addr)
-	if got, err := c.Query(strings.Replace(ask, "d=400", "d=40", 1)); err != nil || got != "C08007" {
+	if got, err := c.Query(strings.Replace(lookupQuery, "d=400", "d=40", 1)); err != nil || got != "C08007" {
 		t.Errorf("%q, %v", got, err)
 	}
 	if got, err := c.Query(";"); err != nil || got != "I" {
@@ -207,9 +207,9 @@
 		"close":     func(c *standin.Client) { c.Close() },
 		"terminate": func(c *standin.Client) { c.Say(pgwire.AppendMessage(nil, pgwire.Terminate)) },
 	} {
-		_, d, addr, _ := front(t, 8, func(*exchange.Exchange) {})
+		_, d, addr, _ := startAcceptor(t, 8, func(*exchange.Exchange) {})
 		c := dial(t, addr)
-		c.Say(pgwire.AppendQuery(nil, ask))
+		c.Say(pgwire.AppendQuery(nil, lookupQuery))
 		time.Sleep(20 * time.Millisecond)
 		leave(c)
 		select {
@@ -232,19 +232,19 @@
 		leaves func(c *standin.Client) error
 		want   int
 	}{
-		"many at once": {says: numbered(300), once: func(f *Front) bool { return taken(f.desk.(*desk)) == queueSize }, want: queueSize},
-		"nonsense":     {says: append(numbered(1), "z\x00\x00\x00\x04"...), once: protested, want: 1},
-		"a flood": {says: append(numbered(1), "z\x00\x00\x00\x04"...), once: protested, more: strings.Repeat("x", 3*discarded),
+		"many at once": {says: numberedQueries(300), once: func(f *Front) bool { return takenCount(f.dispatcher.(*fakeDispatcher)) == maxPendingCommands }, want: maxPendingCommands},
+		"nonsense":     {says: append(numberedQueries(1), "z\x00\x00\x00\x04"...), once: protested, want: 1},
+		"a flood": {says: append(numberedQueries(1), "z\x00\x00\x00\x04"...), once: protested, more: strings.Repeat("x", 3*maxFastDiscard),
 			want: 1},
-		"half closed": {says: numbered(3), once: func(f *Front) bool { return taken(f.desk.(*desk)) == 3 },
+		"half closed": {says: numberedQueries(3), once: func(f *Front) bool { return takenCount(f.dispatcher.(*fakeDispatcher)) == 3 },
 			leaves: func(c *standin.Client) error { return c.Conn.(*net.TCPConn).CloseWrite() }, want: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, d, addr, _ := front(t, 8, func(*exchange.Exchange) {})
+			f, d, addr, _ := startAcceptor(t, 8, func(*exchange.Exchange) {})
 			client := dial(t, addr)
 			client.Say(c.says)
-			until(t, name, func() bool { return c.once(f) })
+			waitUntil(t, name, func() bool { return c.once(f) })
 			client.Say([]byte(c.more))
 			if c.leaves == nil {
 				client.Close()
@@ -269,14 +269,14 @@
 // What a client asked before it left may be read long after: its end lies behind it by then. Such a command is not taken at all.
 func TestACommandOfAClientThatHasLeftIsNotTaken(t *testing.T) {
 	t.Parallel()
-	_, d, addr, _ := front(t, 8, ack)
+	_, d, addr, _ := startAcceptor(t, 8, ack)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	f, _, _, _ := front(t, 8, ack)
-	f.desk = d
+	f, _, _, _ := startAcceptor(t, 8, ack)
+	f.dispatcher = d
 	for _, leaves := range []func(c *net.TCPConn) error{(*net.TCPConn).Close, (*net.TCPConn).CloseWrite} {
 		far, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -287,51 +287,51 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		far.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), ask))
+		far.Write(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
 		if err := leaves(far.(*net.TCPConn)); err != nil { // before anything of it is read
 			t.Fatal(err)
 		}
-		c := &conn{front: f, net: near.(*net.TCPConn), queue: make(chan reply, queueSize+besides)}
+		c := &conn{acceptor: f, net: near.(*net.TCPConn), replies: make(chan reply, maxPendingCommands+extraReplies)}
 		f.counts.ClientOpen.Add(1)
-		until(t, "its end is here", c.hasLeft)
+		waitUntil(t, "its end is here", c.clientClosed)
 		c.run()
 	}
-	if n := taken(d); n != 0 || len(f.ids) != 0 {
-		t.Errorf("%d ops were taken, %d ids are kept", n, len(f.ids))
+	if n := takenCount(d); n != 0 || len(f.openIDs) != 0 {
+		t.Errorf("%d ops were taken, %d ids are kept", n, len(f.openIDs))
 	}
-	if got, err := dial(t, addr).Query(ask); err != nil || got != "v1" {
+	if got, err := dial(t, addr).Query(lookupQuery); err != nil || got != "v1" {
 		t.Errorf("who stays: %q, %v", got, err)
 	}
 }
 
-// stopping is a client of a front that is stopping, has looked its last, and holds an op of it. A command of its comes after that.
-func stopping(t *testing.T) (d *desk, c *standin.Client, stopped chan struct{}) {
+// stoppingClient is a client of a front that is stoppingClient, has looked its last, and holds an op of it. A command of its comes after that.
+func stoppingClient(t *testing.T) (d *fakeDispatcher, c *standin.Client, stopped chan struct{}) {
 	t.Helper()
-	f, d, addr, stop := front(t, 8, func(*exchange.Exchange) {})
+	f, d, addr, stop := startAcceptor(t, 8, func(*exchange.Exchange) {})
 	c = dial(t, addr)
-	c.Say(numbered(1))
-	until(t, "taken", func() bool { return taken(d) == 1 })
+	c.Say(numberedQueries(1))
+	waitUntil(t, "taken", func() bool { return takenCount(d) == 1 })
 	stopped = make(chan struct{})
 	go func() {
 		defer close(stopped)
 		stop()
 	}()
-	until(t, "looked its last", func() bool {
+	waitUntil(t, "looked its last", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
-			return c.ending.Load()
+			return c.readingDone.Load()
 		}
 		return false
 	})
-	c.Say(pgwire.AppendQuery(nil, strings.Replace(ask, "id=1", "id=2", 1)))
+	c.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", "id=2", 1)))
 	return d, c, stopped
 }
 
 // Behind a command that nobody reads any more the client's end must show all the same.
 func TestAClientThatLeavesAStoppingGatewayIsSeenBehindWhatIsNotRead(t *testing.T) {
 	t.Parallel()
-	d, c, stopped := stopping(t)
+	d, c, stopped := stoppingClient(t)
 	c.Close()
 	select {
 	case x := <-d.left:
@@ -340,7 +340,7 @@
 		t.Fatal("it counts as still there")
 	}
 	<-stopped
-	if n := taken(d); n != 1 {
+	if n := takenCount(d); n != 1 {
 		t.Errorf("%d ops were taken", n)
 	}
 }
@@ -349,7 +349,7 @@
 // not taken, and it asks elsewhere.
 func TestWhatCrossesTheEndOfAPlannedStopStaysUnread(t *testing.T) {
 	t.Parallel()
-	d, c, stopped := stopping(t)
+	d, c, stopped := stoppingClient(t)
 	time.Sleep(20 * time.Millisecond) // in which it would be read
 	ack(d.taken[0])
 	expect(t, c, "v0")
@@ -358,7 +358,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a reset", func() (reset bool) {
+	waitUntil(t, "a reset", func() (reset bool) {
 		raw.Control(func(fd uintptr) {
 			look := []unix.PollFd{{Fd: int32(fd)}}
 			unix.Poll(look, 0)
@@ -366,12 +366,12 @@
 		})
 		return reset
 	})
-	if n := taken(d); n != 1 {
+	if n := takenCount(d); n != 1 {
 		t.Errorf("%d ops were taken", n)
 	}
 }
 
-func taken(d *desk) int {
+func takenCount(d *fakeDispatcher) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.taken)
@@ -381,7 +381,7 @@
 // asked counts as taken.
 func TestAPlannedStopTakesInWhoWaitsInTheQueue(t *testing.T) {
 	t.Parallel()
-	f, d, _, _ := front(t, 8, ack)
+	f, d, _, _ := startAcceptor(t, 8, ack)
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -392,7 +392,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), ask))
+	c.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	l.SetDeadline(exchange.Past) // the time is over before it was looked at
@@ -404,7 +404,7 @@
 	expect(t, c, "v1")
 	c.Close()
 	group.Wait()
-	if n := taken(d); n != 1 {
+	if n := takenCount(d); n != 1 {
 		t.Errorf("%d ops were taken", n)
 	}
 }
@@ -412,16 +412,16 @@
 // What a process holds when it is killed is lost: it is given up before, and its client told so.
 func TestAPlannedStopGivesUpWhatWouldOutlastTheProcess(t *testing.T) {
 	t.Parallel()
-	f, d, addr, stop := front(t, 8, func(*exchange.Exchange) {})
+	f, d, addr, stop := startAcceptor(t, 8, func(*exchange.Exchange) {})
 	for timeout, want := range map[time.Duration]time.Duration{time.Second: time.Second, time.Minute: maxDrain} {
-		if f.told.OpTypes[1].Timeout = timeout; f.longest() != want {
-			t.Errorf("with %v it waits for %v", timeout, f.longest())
+		if f.settings.OpTypes[1].Timeout = timeout; f.longestOpTimeout() != want {
+			t.Errorf("with %v it waits for %v", timeout, f.longestOpTimeout())
 		}
 	}
-	f.told.OpTypes[1].Timeout = time.Second
+	f.settings.OpTypes[1].Timeout = time.Second
 	c := dial(t, addr)
-	c.Say(numbered(1))
-	until(t, "taken", func() bool { return taken(d) == 1 })
+	c.Say(numberedQueries(1))
+	waitUntil(t, "taken", func() bool { return takenCount(d) == 1 })
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -445,7 +445,7 @@
 		{"absurd number", string(pgwire.AppendQuery(nil, "/* id=1,c=lookup,d=9e9 */")), "C42601"},
 		{"unknown op type", string(pgwire.AppendQuery(nil, "/* id=1,c=none,d=9 */")), "C22023"},
 	} {
-		f, _, addr, _ := front(t, 8, ack)
+		f, _, addr, _ := startAcceptor(t, 8, ack)
 		other, bad := dial(t, addr), dial(t, addr)
 		if err := bad.Say([]byte(c.in)); err != nil {
 			t.Fatal(err)
@@ -456,7 +456,7 @@
 		if n := f.counts.Malformed.Load() + f.counts.Unusable.Load(); n == 0 {
 			t.Errorf("%s: not counted", c.name)
 		}
-		if got, err := other.Query(ask); err != nil || got != "v1" {
+		if got, err := other.Query(lookupQuery); err != nil || got != "v1" {
 			t.Errorf("%s: the other connection got %q, %v", c.name, got, err)
 		}
 	}
@@ -465,13 +465,13 @@
 // Each is owed an end within 3 s of connecting; one that has spoken keeps its connection.
 func TestSilentAndHalfSpokenClientsAreLetGo(t *testing.T) {
 	t.Parallel()
-	_, _, addr, _ := front(t, 8, ack)
+	_, _, addr, _ := startAcceptor(t, 8, ack)
 	startup := pgwire.AppendStartup(nil, "portal", "crm")
 	for name, said := range map[string][]byte{
 		"nothing":        nil,
 		"half a startup": startup[:9],
 		"no command":     startup,
-		"half a command": pgwire.AppendQuery(startup, ask)[:len(startup)+40],
+		"half a command": pgwire.AppendQuery(startup, lookupQuery)[:len(startup)+40],
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -490,12 +490,12 @@
 	t.Run("a later half", func(t *testing.T) {
 		t.Parallel()
 		c := dial(t, addr)
-		c.Query(ask)
+		c.Query(lookupQuery)
 		time.Sleep(readTimeout + 100*time.Millisecond)
-		if got, err := c.Query(ask); err != nil || got != "v1" {
+		if got, err := c.Query(lookupQuery); err != nil || got != "v1" {
 			t.Errorf("an idle client: %q, %v", got, err)
 		}
-		c.Say(pgwire.AppendQuery(nil, ask)[:30])
+		c.Say(pgwire.AppendQuery(nil, lookupQuery)[:30])
 		c.SetDeadline(time.Now().Add(2900 * time.Millisecond))
 		expect(t, c, "$")
 	})
@@ -503,18 +503,18 @@
 
 func TestQuietConnectionsMakeRoom(t *testing.T) {
 	t.Parallel()
-	f, _, addr, _ := front(t, 3, func(x *exchange.Exchange) {
-		if id(x) == "1" {
+	f, _, addr, _ := startAcceptor(t, 3, func(x *exchange.Exchange) {
+		if opID(x) == "1" {
 			time.Sleep(idleTimeout + 500*time.Millisecond)
 		}
 		ack(x)
 	})
 	busy, idle := dial(t, addr), dial(t, addr)
-	idle.Query(strings.Replace(ask, "id=1", "id=2", 1))
-	busy.Say(pgwire.AppendQuery(nil, ask))
+	idle.Query(strings.Replace(lookupQuery, "id=1", "id=2", 1))
+	busy.Say(pgwire.AppendQuery(nil, lookupQuery))
 	time.Sleep(idleTimeout + 50*time.Millisecond)
 	lately := dial(t, addr)
-	lately.Query(strings.Replace(ask, "id=1", "id=3", 1))
+	lately.Query(strings.Replace(lookupQuery, "id=1", "id=3", 1))
 	silent, err := standin.Open(addr) // takes the place of the idle one
 	if err != nil {
 		t.Fatal(err)
@@ -523,13 +523,13 @@
 	expect(t, idle, "$")
 	next := dial(t, addr) // takes the place of the silent one
 	expect(t, silent, "$")
-	next.Query(strings.Replace(ask, "id=1", "id=4", 1))
+	next.Query(strings.Replace(lookupQuery, "id=1", "id=4", 1))
 	dial(t, addr)
 	if f.counts.ClientRefused.Load() != 1 || f.counts.ClientIdleClosed.Load() != 2 {
 		t.Errorf("the others are in use, or were until just now: %s", f.counts)
 	}
 	expect(t, busy, "v1")
-	if got, err := lately.Query(strings.Replace(ask, "id=1", "id=5", 1)); err != nil || got != "v5" {
+	if got, err := lately.Query(strings.Replace(lookupQuery, "id=1", "id=5", 1)); err != nil || got != "v5" {
 		t.Errorf("%q, %v", got, err)
 	}
 }
@@ -537,7 +537,7 @@
 // On a day of bad clients connections by hundreds that said nothing had those closed unserved that came next.
 func TestAFloodOfSilentConnectionsKeepsNobodyOut(t *testing.T) {
 	t.Parallel()
-	f, _, addr, _ := front(t, 16, ack)
+	f, _, addr, _ := startAcceptor(t, 16, ack)
 	for range 10 {
 		for range 40 {
 			c, err := standin.Open(addr)
@@ -547,7 +547,7 @@
 			t.Cleanup(func() { c.Close() })
 		}
 		began := time.Now()
-		if got, err := dial(t, addr).Query(ask); err != nil || got != "v1" || time.Since(began) > time.Second {
+		if got, err := dial(t, addr).Query(lookupQuery); err != nil || got != "v1" || time.Since(began) > time.Second {
 			t.Errorf("%q, %v after %v", got, err, time.Since(began))
 		}
 	}
@@ -560,15 +560,15 @@
 // set its next wait: they stayed for good, counted as leaving, and with as many as there is room for nobody else was let in.
 func TestAConnectionThatIsToLeaveDoesWhateverItsReaderWaitsFor(t *testing.T) {
 	t.Parallel()
-	f, _, addr, _ := front(t, 1, ack)
+	f, _, addr, _ := startAcceptor(t, 1, ack)
 	c := dial(t, addr)
-	c.Query(ask)
+	c.Query(lookupQuery)
 	f.mu.Lock()
 	for k := range f.conns { // the reader's next wait comes after the mark
-		until(t, "nothing is owed", func() bool { return k.owed.Load() == 0 })
-		k.leaving.Store(true)
+		waitUntil(t, "nothing is owed", func() bool { return k.pendingReplies.Load() == 0 })
+		k.evicting.Store(true)
 		k.net.SetReadDeadline(exchange.Past)
-		k.wait(time.Time{})
+		k.setReadDeadline(time.Time{})
 	}
 	f.mu.Unlock()
 	expect(t, c, "$")
@@ -579,16 +579,16 @@
 func TestACommandThatCrossesAnEvictionIsAnswered(t *testing.T) {
 	t.Parallel()
 	held := make(chan *exchange.Exchange, 1)
-	f, d, addr, _ := front(t, 8, func(x *exchange.Exchange) { held <- x })
+	f, d, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) { held <- x })
 	c := dial(t, addr)
 	for n := range 3 {
-		c.Say(pgwire.AppendQuery(nil, strings.Replace(ask, "id=1", fmt.Sprintf("id=%d", n), 1)))
+		c.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", fmt.Sprintf("id=%d", n), 1)))
 		x := <-held
 		f.mu.Lock()
 		for k := range f.conns {
-			k.leaving.Store(true)
+			k.evicting.Store(true)
 			k.net.SetReadDeadline(exchange.Past)
-			until(t, "the mark is off", func() bool { return !k.leaving.Load() })
+			waitUntil(t, "the mark is off", func() bool { return !k.evicting.Load() })
 		}
 		f.mu.Unlock()
 		ack(x)
@@ -602,23 +602,23 @@
 func TestAnIDIsOpenOnce(t *testing.T) {
 	t.Parallel()
 	end := make(chan struct{})
-	f, _, addr, _ := front(t, 8, func(x *exchange.Exchange) {
+	f, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
 		<-end
 		ack(x)
 	})
 	first, second := dial(t, addr), dial(t, addr)
-	first.Say(pgwire.AppendQuery(nil, ask))
+	first.Say(pgwire.AppendQuery(nil, lookupQuery))
 	time.Sleep(50 * time.Millisecond)
-	if got, err := second.Query(ask); err != nil || got != "C42710" {
+	if got, err := second.Query(lookupQuery); err != nil || got != "C42710" {
 		t.Errorf("%q, %v", got, err)
 	}
 	close(end)
 	expect(t, first, "v1")
-	if got, err := second.Query(ask); err != nil || got != "v1" {
+	if got, err := second.Query(lookupQuery); err != nil || got != "v1" {
 		t.Errorf("after its end: %q, %v", got, err)
 	}
-	if len(f.ids) != 0 {
-		t.Errorf("%d ids are kept", len(f.ids))
+	if len(f.openIDs) != 0 {
+		t.Errorf("%d ids are kept", len(f.openIDs))
 	}
 }
 
@@ -626,7 +626,7 @@
 func TestManyCommandsAtOnceAreAllAnswered(t *testing.T) {
 	t.Parallel()
 	var under, most atomic.Int32
-	_, d, addr, _ := front(t, 8, func(x *exchange.Exchange) {
+	_, d, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
 		if n := under.Add(1); n > most.Load() {
 			most.Store(n)
 		}
@@ -635,11 +635,11 @@
 		ack(x)
 	})
 	c := dial(t, addr)
-	c.Say(numbered(300))
+	c.Say(numberedQueries(300))
 	for n := range 300 {
 		expect(t, c, fmt.Sprintf("v%d", n))
 	}
-	if len(d.taken) != 300 || most.Load() > queueSize+1 { // one that ends is counted out just after its answer may be written
+	if len(d.taken) != 300 || most.Load() > maxPendingCommands+1 { // one that ends is counted out just after its answer may be written
 		t.Errorf("%d were taken, %d at once", len(d.taken), most.Load())
 	}
 }
@@ -647,16 +647,16 @@
 // What has been read of a client that is held back is taken also where a planned stop begins meanwhile: it cannot be asked elsewhere.
 func TestAPlannedStopTakesWhatAHeldBackClientHasSaid(t *testing.T) {
 	t.Parallel()
-	f, d, addr, stop := front(t, 8, func(*exchange.Exchange) {})
+	f, d, addr, stop := startAcceptor(t, 8, func(*exchange.Exchange) {})
 	c := dial(t, addr)
-	c.Say(numbered(queueSize + 3))
-	until(t, "held back", func() bool {
+	c.Say(numberedQueries(maxPendingCommands + 3))
+	waitUntil(t, "held back", func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		for c := range f.conns {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return c.paused
+			return c.readPaused
 		}
 		return false
 	})
@@ -665,9 +665,9 @@
 		defer close(stopped)
 		stop()
 	}()
-	until(t, "stopping", f.closing.Load)
-	for n := range queueSize + 3 {
-		until(t, "taken", func() bool { return taken(d) > n })
+	waitUntil(t, "stopping", f.stopping.Load)
+	for n := range maxPendingCommands + 3 {
+		waitUntil(t, "taken", func() bool { return takenCount(d) > n })
 		d.mu.Lock()
 		x := d.taken[n]
 		d.mu.Unlock()
@@ -679,8 +679,8 @@
 
 func TestNoOpWaitsLongerThanItsTypeMay(t *testing.T) {
 	t.Parallel()
-	f, d, addr, _ := front(t, 8, ack)
-	if _, err := dial(t, addr).Query(strings.Replace(ask, "d=400", "d=4000000000", 1)); err != nil {
+	f, d, addr, _ := startAcceptor(t, 8, ack)
+	if _, err := dial(t, addr).Query(strings.Replace(lookupQuery, "d=400", "d=4000000000", 1)); err != nil {
 		t.Fatal(err)
 	}
 	if left := d.taken[0].Due - f.clock.Now(); left > time.Second {
@@ -690,12 +690,12 @@
 
 func TestOpsInHandAreAnsweredBeforeAProtest(t *testing.T) {
 	t.Parallel()
-	_, d, addr, _ := front(t, 8, func(x *exchange.Exchange) {
+	_, d, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
 		time.Sleep(30 * time.Millisecond)
 		ack(x)
 	})
 	c := dial(t, addr)
-	c.Say(append(pgwire.AppendQuery(nil, ask), "z\x00\x00\x00\x04"...))
+	c.Say(append(pgwire.AppendQuery(nil, lookupQuery), "z\x00\x00\x00\x04"...))
 	expect(t, c, "v1")
 	expect(t, c, "C08P01$")
 	if len(d.left) > 0 {
@@ -705,7 +705,7 @@
 
 func TestOtherOpenings(t *testing.T) {
 	t.Parallel()
-	_, _, addr, _ := front(t, 8, ack)
+	_, _, addr, _ := startAcceptor(t, 8, ack)
 	c, err := standin.Open(addr)
 	if err != nil {
 		t.Fatal(err)
@@ -716,7 +716,7 @@
 	if _, err := c.Read(answer[:]); err != nil || answer[0] != 'N' {
 		t.Errorf("%q, %v", answer, err)
 	}
-	c.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), ask))
+	c.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
 	expect(t, c, "")
 	expect(t, c, "v1")
 	for name, in := range map[string]string{
@@ -735,17 +735,17 @@
 
 func TestConnectionsBeyondTheMostAreToldSo(t *testing.T) {
 	t.Parallel()
-	f, _, addr, _ := front(t, 1, ack)
+	f, _, addr, _ := startAcceptor(t, 1, ack)
 	first := dial(t, addr)
-	first.Query(ask)
+	first.Query(lookupQuery)
 	second, err := standin.Open(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer second.Close()
-	second.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), ask))
+	second.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
 	expect(t, second, "C53300$")
-	if got, err := first.Query(ask); err != nil || got != "v1" || f.counts.ClientRefused.Load() != 1 {
+	if got, err := first.Query(lookupQuery); err != nil || got != "v1" || f.counts.ClientRefused.Load() != 1 {
 		t.Errorf("%q, %v, %d turned away", got, err, f.counts.ClientRefused.Load())
 	}
 }
@@ -753,14 +753,14 @@
 func TestAStuckClientHoldsUpNobody(t *testing.T) {
 	t.Parallel()
 	big := strings.Repeat("x", 1<<20)
-	f, _, addr, _ := front(t, 8, func(x *exchange.Exchange) {
+	f, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
 		x.Answer = pgwire.AppendMessage(nil, pgwire.DataRow, big)
 		finish(x, exchange.Acked)
 	})
 	stuck, other := dial(t, addr), dial(t, addr)
 	stuck.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
-	for n := range queueSize { // more than both ends can buffer; it never reads
-		stuck.Say(pgwire.AppendQuery(nil, strings.Replace(ask, "id=1,c=lookup,d=400", fmt.Sprintf("id=%d,c=lookup,d=1", n), 1)))
+	for n := range maxPendingCommands { // more than both ends can buffer; it never reads
+		stuck.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1,c=lookup,d=400", fmt.Sprintf("id=%d,c=lookup,d=1", n), 1)))
 	}
 	if got, err := other.Query(";"); err != nil || got != "I" {
 		t.Errorf("%q, %v", got, err)
@@ -774,30 +774,30 @@
 
 func TestAPlannedStopAnswersAllThatIsTaken(t *testing.T) {
 	t.Parallel()
-	f, d, addr, stop := front(t, 8, func(x *exchange.Exchange) {
-		if id(x) == "1" {
+	f, d, addr, stop := startAcceptor(t, 8, func(x *exchange.Exchange) {
+		if opID(x) == "1" {
 			time.Sleep(150 * time.Millisecond)
 			ack(x)
 		}
 	})
 	leaver := dial(t, addr)
-	leaver.Say(pgwire.AppendQuery(nil, strings.Replace(ask, "id=1", "id=2", 1)))
+	leaver.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", "id=2", 1)))
 	idle, busy := dial(t, addr), dial(t, addr)
 	stopped := make(chan struct{})
 	go func() {
 		stop()
 		close(stopped)
 	}()
-	time.Sleep(acceptFor / 2)
+	time.Sleep(stopAcceptPeriod / 2)
 	late := dial(t, addr) // clients still arrive, and use what they hold
-	if got, err := late.Query(ask); err != nil || got != "v1" {
+	if got, err := late.Query(lookupQuery); err != nil || got != "v1" {
 		t.Errorf("a late client got %q, %v", got, err)
 	}
 	if got, err := idle.Query(";"); err != nil || got != "I" {
 		t.Errorf("a held connection got %q, %v", got, err)
 	}
-	time.Sleep(acceptFor/2 - 200*time.Millisecond)
-	busy.Say(pgwire.AppendQuery(nil, ask)) // ends after connections begin to be closed
+	time.Sleep(stopAcceptPeriod/2 - 200*time.Millisecond)
+	busy.Say(pgwire.AppendQuery(nil, lookupQuery)) // ends after connections begin to be closed
 	expect(t, busy, "v1")
 	expect(t, busy, "$")
 	expect(t, idle, "$")
@@ -817,8 +817,8 @@
 // when the process is killed is lost. A command that crosses the end is not read, so that its client can tell.
 func TestAPlannedStopTakesNothingMoreFromABusyClient(t *testing.T) {
 	t.Parallel()
-	f, d, addr, stop := front(t, 8, func(x *exchange.Exchange) {
-		time.Sleep(linger / 4)
+	f, d, addr, stop := startAcceptor(t, 8, func(x *exchange.Exchange) {
+		time.Sleep(closeGrace / 4)
 		ack(x)
 	})
 	c := dial(t, addr)
@@ -828,7 +828,7 @@
 	go func() {
 		defer close(ended)
 		for ; ctx.Err() == nil; answered++ {
-			if got, err := c.Query(ask); err != nil || got != "v1" {
+			if got, err := c.Query(lookupQuery); err != nil || got != "v1" {
 				return // the end of the connection: this one was not taken
 			}
 		}
@@ -850,11 +850,11 @@
 // Where nobody leaves and connections go on to come, none waits in the listener's queue for long, as its time would run unseen.
 func TestNobodyWaitsLongInTheListenersQueue(t *testing.T) {
 	t.Parallel()
-	f, _, addr, _ := front(t, 1, func(*exchange.Exchange) {})
+	f, _, addr, _ := startAcceptor(t, 1, func(*exchange.Exchange) {})
 	c := dial(t, addr)
-	c.Say(pgwire.AppendQuery(nil, ask)) // it is owed an answer, so it makes no room
-	until(t, "taken", func() bool { return taken(f.desk.(*desk)) == 1 })
-	f.counts.ClientOpen.Add(turnedAway) // nor do others
+	c.Say(pgwire.AppendQuery(nil, lookupQuery)) // it is owed an answer, so it makes no room
+	waitUntil(t, "taken", func() bool { return takenCount(f.dispatcher.(*fakeDispatcher)) == 1 })
+	f.counts.ClientOpen.Add(overflowConns) // nor do others
 	began := time.Now()
 	for range 40 { // together: one after another each may wait for a moment
 		c, err := standin.Open(addr)
@@ -863,9 +863,9 @@
 		}
 		defer c.Close()
 	}
-	until(t, "all are turned away", func() bool { return f.counts.ClientRefused.Load() >= 40 })
-	if took := time.Since(began); took > 40*turnedAway*newcomer/4 { // each may wait for turnedAway*newcomer
+	waitUntil(t, "all are turned away", func() bool { return f.counts.ClientRefused.Load() >= 40 })
+	if took := time.Since(began); took > 40*overflowConns*firstBytesWait/4 { // each may wait for turnedAway*newcomer
 		t.Errorf("the last one waited for %v", took)
 	}
-	f.counts.ClientOpen.Add(-turnedAway)
+	f.counts.ClientOpen.Add(-overflowConns)
 }
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -14,84 +14,84 @@
 	"gorsewell/internal/pgwire"
 )
 
-// queueSize is how many commands of one client may wait for their answers; no more are read until one is answered.
-const queueSize = 16
+// maxPendingCommands is how many commands of one client may wait for their answers; no more are read until one is answered.
+const maxPendingCommands = 16
 
-// besides is how many replies there may be that answer no command: encryption declined three times, a welcome, a protest.
-const besides = 5
+// extraReplies is how many replies there may be that answer no command: encryption declined three times, a welcome, a protest.
+const extraReplies = 5
 
 // Why a connection is read no longer.
 var (
-	errGone      = errors.New("the client has gone")
-	errProtested = errors.New("the client is told that nothing more is taken, and why")
-	errEnds      = errors.New("the connection is to be closed")
+	errClientGone = errors.New("the client has gone")
+	errRejected   = errors.New("the client is told that nothing more is taken, and why")
+	errClosing    = errors.New("the connection is to be closed")
 )
 
 // read takes what the client sends until it goes, or is to go.
 func (c *conn) read() error {
-	c.wait(time.Now().Add(readTimeout))
+	c.setReadDeadline(time.Now().Add(readTimeout))
 	if err := c.startup(); err != nil {
 		return err
 	}
 	for {
-		if err := c.pause(); err != nil {
+		if err := c.awaitQueueSpace(); err != nil {
 			return err
 		}
-		m, err := c.next()
+		m, err := c.readMessage()
 		switch {
 		case err != nil:
-			return c.protest(err)
+			return c.reject(err)
 		case m.Type == pgwire.Terminate:
-			return errGone
+			return errClientGone
 		case m.Type != pgwire.Query: // no other command is spoken here
-			return c.protest(pgwire.ErrMalformed)
+			return c.reject(pgwire.ErrMalformed)
 		}
-		if err := c.query(m.Body); err != nil {
-			return c.protest(err)
+		if err := c.handleQuery(m.Body); err != nil {
+			return c.reject(err)
 		}
 	}
 }
 
-// protest answers bytes that cannot be read with a fatal error; any other reason to end passes through.
-func (c *conn) protest(err error) error {
+// reject answers bytes that cannot be read with a fatal error; any other reason to end passes through.
+func (c *conn) reject(err error) error {
 	code := "08P01"
 	switch err {
 	case pgwire.ErrMalformed, pgwire.ErrVersion:
 	case pgwire.ErrTooLong:
 		code = "54000"
-		c.front.counts.Unusable.Add(1)
+		c.acceptor.counts.Unusable.Add(1)
 	default:
 		return err
 	}
-	c.front.counts.Malformed.Add(1)
-	c.say(pgwire.AppendError(nil, "FATAL", code, err.Error(), ""))
-	return errProtested
+	c.acceptor.counts.Malformed.Add(1)
+	c.enqueueBytes(pgwire.AppendError(nil, "FATAL", code, err.Error(), ""))
+	return errRejected
 }
 
-// pause holds back a client that has as many commands waiting as there may be: nothing is read until one is answered, and its
+// awaitQueueSpace holds back a client that has as many commands waiting as there may be: nothing is read until one is answered, and its
 // leaving is seen meanwhile. Commands that have been read already are taken afterwards, also at a planned stop.
-func (c *conn) pause() error {
-	for c.waiting.Load() >= queueSize {
+func (c *conn) awaitQueueSpace() error {
+	for c.pendingCommands.Load() >= maxPendingCommands {
 		c.mu.Lock()
-		c.paused = c.waiting.Load() >= queueSize // else its answerer has passed by and wakes nobody
+		c.readPaused = c.pendingCommands.Load() >= maxPendingCommands // else its answerer has passed by and wakes nobody
 		c.net.SetReadDeadline(time.Time{})
 		c.mu.Unlock()
-		gone := c.paused && c.leaves()
+		gone := c.readPaused && c.awaitClientClose()
 		c.mu.Lock()
-		c.paused = false // from here on no late wake ends another wait
-		c.wait(time.Time{})
+		c.readPaused = false // from here on no late wake ends another wait
+		c.setReadDeadline(time.Time{})
 		c.mu.Unlock()
 		if gone {
-			return errGone
+			return errClientGone
 		}
 	}
 	return nil
 }
 
-// resume wakes a reader that pauses.
-func (c *conn) resume() {
+// resumeReading wakes a reader that pauses.
+func (c *conn) resumeReading() {
 	c.mu.Lock()
-	if c.paused {
+	if c.readPaused {
 		c.net.SetReadDeadline(exchange.Past)
 	}
 	c.mu.Unlock()
@@ -100,14 +100,14 @@
 // startup reads the packet with which a session begins and lets the client in.
 func (c *conn) startup() error {
 	for declined := 0; ; {
-		o, n, err := pgwire.Startup(c.window.Bytes())
+		o, n, err := pgwire.Startup(c.readBuffer.Bytes())
 		if declined > 2 { // a client asks for either kind of encryption once
 			err = pgwire.ErrMalformed
 		}
 		if err != nil {
-			return c.protest(err)
+			return c.reject(err)
 		}
-		c.window.Take(n)
+		c.readBuffer.Take(n)
 		switch {
 		case n == 0:
 			if err := c.fill(); err != nil {
@@ -115,33 +115,33 @@
 			}
 		case o == pgwire.OpensEncryption:
 			declined++
-			c.say([]byte{'N'}) // there is none: the client goes on in the clear
+			c.enqueueBytes([]byte{'N'}) // there is none: the client goes on in the clear
 		case o == pgwire.OpensCancel:
-			return errProtested
-		case !c.front.findsRoom(c):
-			c.front.counts.ClientRefused.Add(1)
-			c.say(pgwire.AppendError(nil, "FATAL", "53300", "too many connections", ""))
-			return errProtested
+			return errRejected
+		case !c.acceptor.awaitSessionCapacity(c):
+			c.acceptor.counts.ClientRefused.Add(1)
+			c.enqueueBytes(pgwire.AppendError(nil, "FATAL", "53300", "too many connections", ""))
+			return errRejected
 		default:
-			c.say(pgwire.AppendWelcome(nil))
+			c.enqueueBytes(pgwire.AppendWelcome(nil))
 			return nil
 		}
 	}
 }
 
-// next reads one message, which stays valid until the next call.
-func (c *conn) next() (pgwire.Message, error) {
-	for limited := !c.spoke.Load(); ; {
-		m, ok, err := c.window.Next()
+// readMessage reads one message, which stays valid until the readMessage call.
+func (c *conn) readMessage() (pgwire.Message, error) {
+	for limited := !c.sentCommand.Load(); ; {
+		m, ok, err := c.readBuffer.Next()
 		if ok && limited {
-			c.wait(time.Time{})
+			c.setReadDeadline(time.Time{})
 		}
 		if ok || err != nil {
 			return m, err
 		}
-		if !limited && len(c.window.Bytes()) > 0 { // a message that has begun is to end
+		if !limited && len(c.readBuffer.Bytes()) > 0 { // a message that has begun is to end
 			limited = true
-			c.wait(time.Now().Add(readTimeout))
+			c.setReadDeadline(time.Now().Add(readTimeout))
 		}
 		if err := c.fill(); err != nil {
 			return m, err
@@ -158,27 +158,27 @@
 // not taken.
 func (c *conn) fill() error {
 	for last := false; ; {
-		n, err := c.net.Read(c.window.Room())
-		c.window.Filled(n)
+		n, err := c.net.Read(c.readBuffer.Room())
+		c.readBuffer.Filled(n)
 		switch {
 		case n > 0:
-			c.heard.Store(int64(c.front.clock.Now()))
-			c.leaving.Store(false)
+			c.lastActivity.Store(int64(c.acceptor.clock.Now()))
+			c.evicting.Store(false)
 			return nil
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			return errGone
-		case c.owed.Load() > 0 && c.front.closing.Load():
-			return errEnds
-		case c.owed.Load() > 0:
+			return errClientGone
+		case c.pendingReplies.Load() > 0 && c.acceptor.stopping.Load():
+			return errClosing
+		case c.pendingReplies.Load() > 0:
 			last = false
-			c.leaving.Store(false)
-			c.wait(time.Time{})
-		case last || c.looked:
-			return errEnds
+			c.evicting.Store(false)
+			c.setReadDeadline(time.Time{})
+		case last || c.finalReadDone:
+			return errClosing
 		default:
-			last, c.looked = true, c.front.closing.Load()
-			look := linger
-			if c.leaving.Load() && !c.spoke.Load() {
+			last, c.finalReadDone = true, c.acceptor.stopping.Load()
+			look := closeGrace
+			if c.evicting.Load() && !c.sentCommand.Load() {
 				look = time.Millisecond // what it had to say would be here: newcomers do not leave
 			}
 			c.net.SetReadDeadline(time.Now().Add(look))
@@ -186,27 +186,27 @@
 	}
 }
 
-// discarded is how much of what follows a protest is thrown away as fast as it comes; of a flood, the rest is slowed down.
-const discarded = 1 << 20
+// maxFastDiscard is how much of what follows a protest is thrown away as fast as it comes; of a flood, the rest is slowed down.
+const maxFastDiscard = 1 << 20
 
-// await waits until all that was taken is answered, and tells whether the client leaves before: then what is under way for it
+// awaitReplies waits until all that was taken is answered, and tells whether the client leaves before: then what is under way for it
 // must not be sent on. What follows a protest is thrown away, so that its end shows. What comes once a planned stop has looked
 // its last stays unread, by which its client can tell that it was not taken, and the kernel is asked for the end behind it.
-func (c *conn) await(why error) error {
-	c.ending.Store(true) // from here on the answerer ends the wait after the last answer
-	for left := discarded; ; {
-		if c.net.SetReadDeadline(time.Time{}); c.owed.Load() == 0 {
+func (c *conn) awaitReplies(why error) error {
+	c.readingDone.Store(true) // from here on the answerer ends the wait after the last answer
+	for left := maxFastDiscard; ; {
+		if c.net.SetReadDeadline(time.Time{}); c.pendingReplies.Load() == 0 {
 			return why
 		}
-		if why == errEnds {
-			if c.leaves() {
-				return errGone
+		if why == errClosing {
+			if c.awaitClientClose() {
+				return errClientGone
 			}
 			continue
 		}
-		n, err := c.net.Read(c.window.Room())
+		n, err := c.net.Read(c.readBuffer.Room())
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			return errGone
+			return errClientGone
 		}
 		if left -= n; left < 0 {
 			time.Sleep(time.Millisecond)
@@ -214,96 +214,96 @@
 	}
 }
 
-// leaves waits, reading nothing, until the client has closed its end, or the read deadline has passed: false.
-func (c *conn) leaves() (gone bool) {
+// awaitClientClose waits, reading nothing, until the client has closed its end, or the read deadline has passed: false.
+func (c *conn) awaitClientClose() (gone bool) {
 	raw, err := c.net.SyscallConn()
 	if err != nil {
 		return true
 	}
 	err = raw.Read(func(fd uintptr) bool {
-		gone = closed(fd)
+		gone = peerClosed(fd)
 		return gone
 	})
 	return gone || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// hasLeft tells whether the client has closed its end, whatever lies unread before that.
-func (c *conn) hasLeft() (gone bool) {
+// clientClosed tells whether the client has closed its end, whatever lies unread before that.
+func (c *conn) clientClosed() (gone bool) {
 	raw, err := c.net.SyscallConn()
 	if err != nil {
 		return true
 	}
-	err = raw.Control(func(fd uintptr) { gone = closed(fd) })
+	err = raw.Control(func(fd uintptr) { gone = peerClosed(fd) })
 	return gone || err != nil
 }
 
-// closed asks the kernel whether the other end of a socket is closed, or half closed, which counts as leaving too.
-func closed(fd uintptr) bool { return polled(fd, unix.POLLRDHUP) }
+// peerClosed asks the kernel whether the other end of a socket is peerClosed, or half peerClosed, which counts as leaving too.
+func peerClosed(fd uintptr) bool { return poll(fd, unix.POLLRDHUP) }
 
-// polled asks the kernel whether something has happened at a socket, without waiting.
-func polled(fd uintptr, what int16) bool {
+// poll asks the kernel whether something has happened at a socket, without waiting.
+func poll(fd uintptr, what int16) bool {
 	look := []unix.PollFd{{Fd: int32(fd), Events: what}}
 	n, err := unix.Poll(look, 0)
 	return err == nil && n > 0
 }
 
-// wait lets reads wait until then, and not at all once the connection, or all of them, are to be closed. Who wants that says so
-// first and ends the wait then: whichever of the two comes last, the read ends.
-func (c *conn) wait(until time.Time) {
+// setReadDeadline lets reads setReadDeadline until then, and not at all once the connection, or all of them, are to be closed. Who wants that says so
+// first and ends the setReadDeadline then: whichever of the two comes last, the read ends.
+func (c *conn) setReadDeadline(until time.Time) {
 	c.net.SetReadDeadline(until)
-	if c.front.closing.Load() || c.leaving.Load() {
+	if c.acceptor.stopping.Load() || c.evicting.Load() {
 		c.net.SetReadDeadline(exchange.Past)
 	}
 }
 
-// query takes one command.
-func (c *conn) query(body []byte) error {
+// handleQuery takes one command.
+func (c *conn) handleQuery(body []byte) error {
 	text, err := pgwire.Text(body)
 	if err != nil {
 		return err
 	}
 	if trimmed := bytes.Trim(text, " ;\n\t"); len(trimmed) == 0 {
-		c.spoke.Store(true)
-		c.answers(pgwire.AppendReady(pgwire.AppendMessage(nil, pgwire.EmptyQuery)))
+		c.sentCommand.Store(true)
+		c.enqueueCommandReply(pgwire.AppendReady(pgwire.AppendMessage(nil, pgwire.EmptyQuery)))
 		return nil
 	}
 	s, err := pgwire.Describe(bytes.Clone(text)) // it outlives the buffer: it may be sent again
-	kind, known := c.front.opTypes[string(s.OpType)]
+	kind, known := c.acceptor.opTypes[string(s.OpType)]
 	switch {
 	case err != nil:
-		return c.unusable("42601", "no usable comment")
+		return c.rejectQuery("42601", "no usable comment")
 	case !known:
-		return c.unusable("22023", "unknown op type")
-	case !c.front.opens(string(s.ID)):
-		return c.unusable("42710", "an op of this id is open")
+		return c.rejectQuery("22023", "unknown op type")
+	case !c.acceptor.claimID(string(s.ID)):
+		return c.rejectQuery("42710", "an op of this id is open")
 	}
 	// A command may have waited for long, in the listener's queue or while the process stood still, and its client have left.
-	if c.hasLeft() {
-		c.front.closed(string(s.ID))
-		return errGone
+	if c.clientClosed() {
+		c.acceptor.releaseID(string(s.ID))
+		return errClientGone
 	}
-	c.spoke.Store(true)
-	now := c.front.clock.Now()
-	x := &exchange.Exchange{Statement: s, OpType: kind, Group: s.Group, Session: session(s.Key), Again: s.Again,
-		Due: now + min(s.Remaining, c.front.told.OpTypes[kind].Timeout), Target: c.front.told.OpTypes[kind].Target, After: choice.LongPast, Done: make(chan struct{})}
-	if at, ok := c.front.clock.FromUnix(s.After); ok {
+	c.sentCommand.Store(true)
+	now := c.acceptor.clock.Now()
+	x := &exchange.Exchange{Statement: s, OpType: kind, Group: s.Group, Session: sessionHash(s.Key), Again: s.Again,
+		Due: now + min(s.Remaining, c.acceptor.settings.OpTypes[kind].Timeout), Target: c.acceptor.settings.OpTypes[kind].Target, After: choice.LongPast, Done: make(chan struct{})}
+	if at, ok := c.acceptor.clock.FromUnix(s.After); ok {
 		x.After = at
 	}
-	c.open = append(slices.DeleteFunc(c.open, (*exchange.Exchange).Over), x)
-	c.front.desk.Take(x)
-	c.put(reply{x: x, id: string(s.ID), command: true})
+	c.openOps = append(slices.DeleteFunc(c.openOps, (*exchange.Exchange).Over), x)
+	c.acceptor.dispatcher.Take(x)
+	c.enqueue(reply{op: x, opID: string(s.ID), answersCommand: true})
 	return nil
 }
 
-// unusable answers a command that can be read but is no op.
-func (c *conn) unusable(code, what string) error {
-	c.front.counts.Unusable.Add(1)
-	c.answers(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, what, "")))
+// rejectQuery answers a command that can be read but is no op.
+func (c *conn) rejectQuery(code, what string) error {
+	c.acceptor.counts.Unusable.Add(1)
+	c.enqueueCommandReply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, what, "")))
 	return nil
 }
 
-// session is the number of the session that a key names.
-func session(key []byte) uint64 {
+// sessionHash is the number of the sessionHash that a key names.
+func sessionHash(key []byte) uint64 {
 	h := uint64(14695981039346656037)
 	for _, b := range key {
 		h = (h ^ uint64(b)) * 1099511628211
--- a/internal/pgwire/answer.go
+++ b/internal/pgwire/answer.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// longest is how long the messages of a server may be, their length included. What a gateway asks for has one column
+// serverMessageLimits is how long the messages of a server may be, their length included. What a gateway asks for has one column
 // with a plain name, so most are short: a length that cannot be meant shows at once, not when its bytes fail to come.
-var longest = [256]uint32{
+var serverMessageLimits = [256]uint32{
 	Authentication:   64,
 	ParameterStatus:  1 << 10,
 	BackendKeyData:   512,
@@ -23,14 +23,14 @@
 	if len(b) == 0 {
 		return m, 0, nil
 	}
-	if longest[b[0]] == 0 {
+	if serverMessageLimits[b[0]] == 0 {
 		return m, 0, ErrMalformed
 	}
 	if m, size, err = Next(b, most); err != nil || len(b) < 5 {
 		return m, size, err
 	}
 	n := be.Uint32(b[1:])
-	if n > longest[b[0]] {
+	if n > serverMessageLimits[b[0]] {
 		return m, 0, ErrTooLong
 	}
 	if b[0] == DataRow && (n < 10 || len(b) >= 11 && (be.Uint16(b[5:]) != 1 || be.Uint32(b[7:]) != n-10)) {
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -27,16 +27,16 @@
 // Limits on what a peer may claim. A message may be as long as a value of 64 KiB in hexadecimal form and what surrounds
 // it, or longer where the reader says so.
 const (
-	MaxMessage = 160 << 10
-	maxStartup = 10000 // as PostgreSQL's own
+	MaxMessage    = 160 << 10
+	maxStartupLen = 10000 // as PostgreSQL's own
 )
 
 // The codes that stand in a startup packet's place for a version.
 const (
-	version3      = 3 << 16
-	cancelRequest = 1234<<16 | 5678
-	sslRequest    = 1234<<16 | 5679
-	gssRequest    = 1234<<16 | 5680
+	protocolVersion3 = 3 << 16
+	cancelRequest    = 1234<<16 | 5678
+	sslRequest       = 1234<<16 | 5679
+	gssEncRequest    = 1234<<16 | 5680
 )
 
 // What may be wrong with a peer's bytes.
@@ -84,27 +84,27 @@
 // Startup reads the packet with which a client begins; a size of 0 asks for more bytes.
 func Startup(b []byte) (o Opening, size int, err error) {
 	if len(b) < 8 {
-		if len(b) >= 4 && (be.Uint32(b) < 8 || be.Uint32(b) > maxStartup) {
+		if len(b) >= 4 && (be.Uint32(b) < 8 || be.Uint32(b) > maxStartupLen) {
 			return o, 0, ErrMalformed
 		}
 		return o, 0, nil
 	}
 	n, code := be.Uint32(b), be.Uint32(b[4:])
 	switch {
-	case n < 8 || n > maxStartup:
+	case n < 8 || n > maxStartupLen:
 		return o, 0, ErrMalformed
 	case len(b) < int(n):
 		return o, 0, nil
-	case code == sslRequest || code == gssRequest:
+	case code == sslRequest || code == gssEncRequest:
 		return OpensEncryption, int(n), nil
 	case code == cancelRequest:
 		return OpensCancel, int(n), nil
-	case code>>16 != version3>>16:
+	case code>>16 != protocolVersion3>>16:
 		return o, 0, ErrVersion
 	}
 	user := false
 	for rest := b[8:n]; ; {
-		name, value, left, err := pair(rest)
+		name, value, left, err := cutPair(rest)
 		if err != nil {
 			return o, 0, err
 		} else if len(name) == 0 {
@@ -118,8 +118,8 @@
 	}
 }
 
-// pair reads a name and its value, each ended by a zero byte; an empty name has no value.
-func pair(b []byte) (name, value, rest []byte, err error) {
+// cutPair reads a name and its value, each ended by a zero byte; an empty name has no value.
+func cutPair(b []byte) (name, value, rest []byte, err error) {
 	if name, rest, err = CutText(b); err == nil && len(name) > 0 {
 		value, rest, err = CutText(rest)
 	}
@@ -147,7 +147,7 @@
 
 // Parameter reads the body of a ParameterStatus.
 func Parameter(body []byte) (name, value []byte, err error) {
-	if name, value, rest, err := pair(body); err == nil && len(name) > 0 && len(rest) == 0 {
+	if name, value, rest, err := cutPair(body); err == nil && len(name) > 0 && len(rest) == 0 {
 		return name, value, nil
 	}
 	return nil, nil, ErrMalformed
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const insert = `INSERT INTO facts (code, data) VALUES ('7f3a9c21', '\x9f03') RETURNING data ` +
+const insertStatement = `INSERT INTO facts (code, data) VALUES ('7f3a9c21', '\x9f03') RETURNING data ` +
 	`/* id=9b1f03aa,c=order,d=480,k=5c0f6e1a,cluster=2 */`
 
 func TestMessagesParseHoweverTheyAreSplit(t *testing.T) {
@@ -109,7 +109,7 @@
 }
 
 func TestStatementIsTakenApart(t *testing.T) {
-	s, err := Describe([]byte(insert))
+	s, err := Describe([]byte(insertStatement))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,12 +124,12 @@
 }
 
 func TestOnlyTheRemainingTimeChanges(t *testing.T) {
-	s, err := Describe([]byte(insert))
+	s, err := Describe([]byte(insertStatement))
 	if err != nil {
 		t.Fatal(err)
 	}
 	m, n, err := Next(s.AppendQuery(nil, 77999*time.Microsecond), MaxMessage)
-	want := strings.Replace(insert, "d=480", "d=77", 1) + "\x00"
+	want := strings.Replace(insertStatement, "d=480", "d=77", 1) + "\x00"
 	if err != nil || n != len(want)+5 || m.Type != Query || string(m.Body) != want {
 		t.Errorf("%q, size %d, %v", m.Body, n, err)
 	}
@@ -176,7 +176,7 @@
 }
 
 func FuzzMessages(f *testing.F) {
-	f.Add(AppendReady(AppendError(AppendQuery(nil, insert), "ERROR", "53300", "busy", "5")))
+	f.Add(AppendReady(AppendError(AppendQuery(nil, insertStatement), "ERROR", "53300", "busy", "5")))
 	f.Add(AppendStartup(nil, "portal", "crm"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if _, n, err := Startup(b); n > len(b) || n > 0 && err != nil {
@@ -222,7 +222,7 @@
 }
 
 func FuzzStatement(f *testing.F) {
-	f.Add([]byte(insert))
+	f.Add([]byte(insertStatement))
 	f.Add([]byte("/* id=1,c=b,d=5 */"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Describe(text)
--- a/internal/pgwire/statement.go
+++ b/internal/pgwire/statement.go
@@ -12,13 +12,13 @@
 
 // Statement is a query's text taken apart. All slices are of that text.
 type Statement struct {
-	Text            []byte
-	ID, OpType, Key []byte
-	Remaining       time.Duration // for which the client waits
-	Group           uint16
-	After           int64 // Unix milliseconds of the position to see, 0 where none is told
-	Again           bool  // a client's retry
-	from, to        int   // where the digits of d stand
+	Text                         []byte
+	ID, OpType, Key              []byte
+	Remaining                    time.Duration // for which the client waits
+	Group                        uint16
+	After                        int64 // Unix milliseconds of the position to see, 0 where none is told
+	Again                        bool  // a client's retry
+	remainingStart, remainingEnd int   // where the digits of d stand
 }
 
 // Describe reads the quoted key and the comment of a statement.
@@ -35,12 +35,12 @@
 		if stop < 0 {
 			stop = last - at
 		}
-		if err := s.field(at, text[at:at+stop]); err != nil {
+		if err := s.parseField(at, text[at:at+stop]); err != nil {
 			return s, err
 		}
 		at += stop + 1
 	}
-	if len(s.ID) == 0 || len(s.OpType) == 0 || s.to == 0 {
+	if len(s.ID) == 0 || len(s.OpType) == 0 || s.remainingEnd == 0 {
 		return s, ErrComment
 	}
 	if q := bytes.IndexByte(text[:open], '\''); q >= 0 {
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// field reads one name and value of the comment, which stands at the given place in the text.
-func (s *Statement) field(at int, raw []byte) error {
+// parseField reads one name and value of the comment, which stands at the given place in the text.
+func (s *Statement) parseField(at int, raw []byte) error {
 	name, value, ok := bytes.Cut(bytes.TrimSpace(raw), []byte("="))
 	if !ok {
 		return ErrComment
@@ -65,15 +65,15 @@
 	case "c":
 		s.OpType = value
 	case "d":
-		n, err = number(value, 32)
+		n, err = parseNumber(value, 32)
 		s.Remaining = time.Duration(n) * time.Millisecond
-		s.from = at + bytes.IndexByte(raw, '=') + 1
-		s.to = s.from + len(value)
+		s.remainingStart = at + bytes.IndexByte(raw, '=') + 1
+		s.remainingEnd = s.remainingStart + len(value)
 	case "cluster":
-		n, err = number(value, 16)
+		n, err = parseNumber(value, 16)
 		s.Group = uint16(n)
 	case "after":
-		n, err = number(value, 43)
+		n, err = parseNumber(value, 43)
 		s.After = int64(n)
 	case "r":
 		s.Again = string(value) == "1"
@@ -81,7 +81,7 @@
 	return err
 }
 
-func number(b []byte, bits int) (uint64, error) {
+func parseNumber(b []byte, bits int) (uint64, error) {
 	n, err := strconv.ParseUint(string(b), 10, bits)
 	if err != nil {
 		return 0, ErrComment
@@ -93,9 +93,9 @@
 func (s *Statement) AppendQuery(b []byte, remaining time.Duration) []byte {
 	start := len(b)
 	b = append(b, Query, 0, 0, 0, 0)
-	b = append(b, s.Text[:s.from]...)
+	b = append(b, s.Text[:s.remainingStart]...)
 	b = strconv.AppendInt(b, max(0, remaining.Milliseconds()), 10)
-	b = append(append(b, s.Text[s.to:]...), 0)
+	b = append(append(b, s.Text[s.remainingEnd:]...), 0)
 	be.PutUint32(b[start+1:], uint32(len(b)-start-1))
 	return b
 }
--- a/internal/pgwire/window.go
+++ b/internal/pgwire/window.go
@@ -9,21 +9,21 @@
 }
 
 const (
-	windowSize = 4 << 10
-	leastRoom  = 512
+	bufferSize = 4 << 10
+	minSpace   = 512
 )
 
 // Room returns free space to read into.
 func (w *Window) Room() []byte {
 	if w.start == w.end {
 		w.start, w.end = 0, 0
-		if len(w.buf) > windowSize {
+		if len(w.buf) > bufferSize {
 			w.buf = nil // a rare long message does not keep its space
 		}
 	}
-	if len(w.buf)-w.end < leastRoom {
+	if len(w.buf)-w.end < minSpace {
 		held := w.buf[w.start:w.end]
-		if size := max(windowSize, 2*len(held)); size > len(w.buf) {
+		if size := max(bufferSize, 2*len(held)); size > len(w.buf) {
 			w.buf = make([]byte, size)
 		}
 		w.start, w.end = 0, copy(w.buf, held)
@@ -41,17 +41,19 @@
 func (w *Window) Take(n int) { w.start += n }
 
 // Next takes the next message, if all of it has been read.
-func (w *Window) Next() (m Message, ok bool, err error) { return w.take(Next(w.Bytes(), w.Longest())) }
+func (w *Window) Next() (m Message, ok bool, err error) {
+	return w.consume(Next(w.Bytes(), w.Longest()))
+}
 
 // NextAnswer does so for what a server sends.
 func (w *Window) NextAnswer() (m Message, ok bool, err error) {
-	return w.take(NextAnswer(w.Bytes(), w.Longest()))
+	return w.consume(NextAnswer(w.Bytes(), w.Longest()))
 }
 
 // Longest is how long a message may be.
 func (w *Window) Longest() int { return max(w.Most, MaxMessage) }
 
-func (w *Window) take(m Message, n int, err error) (Message, bool, error) {
+func (w *Window) consume(m Message, n int, err error) (Message, bool, error) {
 	w.start += n
 	return m, n > 0, err
 }
--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -19,83 +19,83 @@
 	database = "postgres"
 )
 
-// settling is how long a connection rests after an answer.
-const settling = 5 * time.Millisecond
+// quietPeriod is how long a connection rests after an answer.
+const quietPeriod = 5 * time.Millisecond
 
 // conn is one connection to a server.
 type conn struct {
-	pool   *Pool
-	server uint32
-	net    net.Conn
-	window pgwire.Window
-	query  []byte        // the query being written
-	freed  time.Duration // when its last answer ended; guarded by the pool's mutex
-	job    *job          // handed over while idle; guarded by the pool's mutex
-	quits  bool          // taken out of the idle list to be closed; guarded by the pool's mutex
+	pool       *Pool
+	server     uint32
+	net        net.Conn
+	readBuffer pgwire.Window
+	query      []byte        // the query being written
+	releasedAt time.Duration // when its last answer ended; guarded by the pool's mutex
+	job        *job          // handed over while idle; guarded by the pool's mutex
+	closing    bool          // taken out of the idle list to be closed; guarded by the pool's mutex
 }
 
 // connect opens a connection for the job and then serves with it until it closes.
 func (p *Pool) connect(ctx context.Context, j *job, addr string) {
 	nc, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		p.refused(j)
+		p.connectFailed(j)
 		return
 	}
 	defer nc.Close()
 	p.counts.ServerConns.Add(1)
-	c := &conn{pool: p, server: j.server, net: nc, window: pgwire.Window{Most: p.told.LongestMessage}}
+	c := &conn{pool: p, server: j.server, net: nc, readBuffer: pgwire.Window{Most: p.settings.LongestMessage}}
 	until, _ := ctx.Deadline()
 	nc.SetDeadline(until)
-	if !p.carry(j, c) || !c.open() {
-		p.refused(j)
+	if !p.attach(j, c) || !c.startup() {
+		p.connectFailed(j)
 		return
 	}
 	for j != nil {
-		e, whole := c.serve(j)
+		e, whole := c.execute(j)
 		if whole {
-			c.free() // before the result is told, as that may bring the next job
+			c.release() // before the result is told, as that may bring the next job
 		} else {
 			nc.Close() // before it, as the op may be sent again, and two sends must never be out
 		}
-		p.end(j, e)
+		p.finish(j, e)
 		if !whole {
 			return
 		}
-		j = c.rest()
+		j = c.awaitJob()
 	}
 }
 
-// refused ends a job for which no connection came up. That is no fault of its server's where a rule ended the job's time first.
-func (p *Pool) refused(j *job) {
+// connectFailed ends a job for which no connection came up. That is no fault of its server's where a rule ended the job's time first.
+func (p *Pool) connectFailed(j *job) {
 	p.counts.ServerRefused.Add(1)
 	e := exchange.Ended{Result: choice.NoConnection, Position: choice.LongPast}
-	if j.by < j.due && p.clock.Now() >= j.by {
+	if j.startBy < j.deadline && p.clock.Now() >= j.startBy {
 		e.Result = choice.NotSent
 	}
-	p.end(j, e)
+	p.finish(j, e)
 }
 
-// carry notes which connection has the job; false if it was given up meanwhile.
-func (p *Pool) carry(j *job, c *conn) bool {
+// attach notes which connection has the job; false if it was given up meanwhile.
+func (p *Pool) attach(j *job, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	j.conn = c
 	return !j.cancelled
 }
 
-// open says who comes and reads until the server is ready.
-func (c *conn) open() bool {
+// startup says who comes and reads until the server is ready.
+func (c *conn) startup() bool {
 	c.query = pgwire.AppendStartup(c.query[:0], user, database)
 	if _, err := c.net.Write(c.query); err != nil {
 		return false
 	}
 	for read := 0; ; {
-		m, err := c.next()
+		m, err := c.readMessage()
 		switch {
 		case err != nil || m.Type == pgwire.ErrorResponse:
 			return false
 		case m.Type == pgwire.ReadyForQuery:
-			return len(c.window.Bytes()) == 0 // what follows belongs to nothing
+			return len(c.readBuffer.Bytes()) == 0 // what follows belongs to nothing
 		case m.Type == pgwire.Authentication && string(m.Body) != "\x00\x00\x00\x00":
 			return false
 		}
@@ -105,71 +105,71 @@
 	}
 }
 
-// free puts the connection among the idle ones.
-func (c *conn) free() {
+// release puts the connection among the idle ones.
+func (c *conn) release() {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.job, c.freed = nil, p.clock.Now()
-	if c.quits = p.closed; c.quits {
+	c.job, c.releasedAt = nil, p.clock.Now()
+	if c.closing = p.closed; c.closing {
 		c.net.SetDeadline(exchange.Past)
 		return
 	}
 	// Closed long before the server does it, so that no query crosses the server's close.
 	var until time.Time
-	if p.told.IdleTime > 0 {
-		until = time.Now().Add(p.told.IdleTime / 2)
+	if p.settings.IdleTime > 0 {
+		until = time.Now().Add(p.settings.IdleTime / 2)
 	}
 	c.net.SetDeadline(until)
 	p.idle[c.server] = append(p.idle[c.server], c)
 }
 
-// rest waits for a job; nil if the connection is to be closed.
-func (c *conn) rest() *job {
+// awaitJob waits for a job; nil if the connection is to be closed.
+func (c *conn) awaitJob() *job {
 	p := c.pool
-	_, err := c.net.Read(c.window.Room()) // nothing is due: a byte or an end closes it, a job ends the wait
+	_, err := c.net.Read(c.readBuffer.Room()) // nothing is due: a byte or an end closes it, a job ends the wait
 	p.mu.Lock()
 	j := c.job
-	if j == nil && !c.quits {
-		p.drop(c)
+	if j == nil && !c.closing {
+		p.removeIdle(c)
 	}
 	c.job = nil
 	p.mu.Unlock()
 	if j == nil {
 		return nil
 	}
-	if errors.Is(err, os.ErrDeadlineExceeded) && c.settles() && !c.gone() {
+	if errors.Is(err, os.ErrDeadlineExceeded) && c.staysQuiet() && !c.isStale() {
 		return j
 	}
 	// The server closed it; as nothing was written the job takes another.
 	p.counts.ServerBroken.Add(1)
 	p.mu.Lock()
 	j.conn = nil
-	p.place(j)
+	p.assign(j)
 	p.mu.Unlock()
 	return nil
 }
 
-// settles waits until what belongs behind the last answer has had time to come: its server's close, or bytes that
+// staysQuiet waits until what belongs behind the last answer has had time to come: its server's close, or bytes that
 // must not pass for the next answer. It is false if anything came.
-func (c *conn) settles() bool {
-	if until := c.freed + c.pool.settling; c.pool.clock.Now() < until {
+func (c *conn) staysQuiet() bool {
+	if until := c.releasedAt + c.pool.quietPeriod; c.pool.clock.Now() < until {
 		c.net.SetReadDeadline(c.pool.clock.Time(until))
-		_, err := c.net.Read(c.window.Room())
+		_, err := c.net.Read(c.readBuffer.Room())
 		return errors.Is(err, os.ErrDeadlineExceeded)
 	}
 	return true
 }
 
-// drop takes the connection out of the idle list. The mutex is held.
-func (p *Pool) drop(c *conn) {
+// removeIdle takes the connection out of the idle list. The mutex is held.
+func (p *Pool) removeIdle(c *conn) {
 	if i := slices.Index(p.idle[c.server], c); i >= 0 {
-		p.take(c.server, i)
+		p.removeIdleAt(c.server, i)
 	}
 }
 
-// quit closes a connection that was taken out of the idle list. The mutex is held.
-func (c *conn) quit() {
-	c.quits = true
+// close closes a connection that was taken out of the idle list. The mutex is held.
+func (c *conn) close() {
+	c.closing = true
 	c.net.SetDeadline(exchange.Past)
 }
--- a/internal/serverside/receive.go
+++ b/internal/serverside/receive.go
@@ -14,18 +14,18 @@
 	"gorsewell/internal/pgwire"
 )
 
-// next reads one message, which stays valid until the next call.
-func (c *conn) next() (pgwire.Message, error) {
+// readMessage reads one message, which stays valid until the readMessage call.
+func (c *conn) readMessage() (pgwire.Message, error) {
 	for {
-		m, ok, err := c.window.NextAnswer()
+		m, ok, err := c.readBuffer.NextAnswer()
 		if ok || err != nil {
 			if err != nil {
 				c.pool.counts.MalformedAnswers.Add(1)
 			}
 			return m, err
 		}
-		n, err := c.net.Read(c.window.Room())
-		c.window.Filled(n)
+		n, err := c.net.Read(c.readBuffer.Room())
+		c.readBuffer.Filled(n)
 		if n == 0 && err != nil {
 			return m, err
 		}
@@ -35,9 +35,9 @@
 // answer is what has been read of one.
 type answer struct {
 	exchange.Ended
-	last byte // the type of the newest message of the value
-	over bool // one of the messages that end a query has come
-	read int  // bytes
+	lastType  byte // the type of the newest message of the value
+	complete  bool // one of the messages that end a query has come
+	bytesRead int  // bytes
 }
 
 var errReady = errors.New("ready for the next query")
@@ -49,12 +49,12 @@
 	var err error
 	for err == nil {
 		var m pgwire.Message
-		if m, err = c.next(); err == nil {
-			err = c.take(j, m, &a)
+		if m, err = c.readMessage(); err == nil {
+			err = c.processMessage(j, m, &a)
 		}
 	}
 	switch {
-	case a.over: // the answer is known, whatever follows it or does not
+	case a.complete: // the answer is known, whatever follows it or does not
 		return a.Ended, err == errReady
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		a.Result = choice.TimedOut
@@ -64,37 +64,37 @@
 	return exchange.Ended{Result: a.Result, Position: choice.LongPast}, false // a spoilt answer tells nothing else
 }
 
-// take looks at one message of an answer.
-func (c *conn) take(j *job, m pgwire.Message, a *answer) error {
-	if a.read += 5 + len(m.Body); a.read > 2*c.window.Longest() {
+// processMessage looks at one message of an answer.
+func (c *conn) processMessage(j *job, m pgwire.Message, a *answer) error {
+	if a.bytesRead += 5 + len(m.Body); a.bytesRead > 2*c.readBuffer.Longest() {
 		return c.malformed()
 	}
 	switch m.Type {
 	case pgwire.RowDescription, pgwire.DataRow, pgwire.CommandComplete:
-		value, fits := part(m, a.last)
-		if a.over || !fits {
+		value, fits := parseValueMessage(m, a.lastType)
+		if a.complete || !fits {
 			return c.malformed()
 		}
-		if j.x != nil {
+		if j.op != nil {
 			a.Answer = pgwire.AppendRaw(a.Answer, m)
 		} else if m.Type == pgwire.DataRow {
-			a.Report = c.report(string(value))
+			a.Report = c.parseReport(string(value))
 		}
-		a.last, a.over = m.Type, m.Type == pgwire.CommandComplete
+		a.lastType, a.complete = m.Type, m.Type == pgwire.CommandComplete
 	case pgwire.ErrorResponse:
 		code, err := pgwire.Code(m.Body)
-		if err != nil || a.over {
+		if err != nil || a.complete {
 			return c.malformed()
 		}
-		a.over = true
-		a.Result = resultOf(string(code))
+		a.complete = true
+		a.Result = resultOfSQLState(string(code))
 	case pgwire.ParameterStatus:
 		if name, value, err := pgwire.Parameter(m.Body); err == nil { // one that cannot be read tells nothing
-			c.parameter(string(name), string(value), a)
+			c.processParameter(string(name), string(value), a)
 		}
 	case pgwire.NoticeResponse, pgwire.NotificationResp:
 	case pgwire.ReadyForQuery:
-		if !a.over || len(c.window.Bytes()) > 0 {
+		if !a.complete || len(c.readBuffer.Bytes()) > 0 {
 			return c.malformed()
 		}
 		return errReady
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// part tells whether the message is the next of a value, after the type that came last: one column, one row of it, the end.
-func part(m pgwire.Message, last byte) (value []byte, fits bool) {
+// parseValueMessage tells whether the message is the next of a value, after the type that came last: one column, one row of it, the end.
+func parseValueMessage(m pgwire.Message, last byte) (value []byte, fits bool) {
 	switch m.Type {
 	case pgwire.RowDescription:
 		return nil, last == 0 && pgwire.OneColumn(m.Body)
@@ -122,8 +122,8 @@
 	return io.ErrUnexpectedEOF
 }
 
-// resultOf tells what an SQLSTATE proves.
-func resultOf(code string) choice.Result {
+// resultOfSQLState tells what an SQLSTATE proves.
+func resultOfSQLState(code string) choice.Result {
 	switch code {
 	case "25006", "72000":
 		return choice.Miss
@@ -133,19 +133,19 @@
 	return choice.ServerError
 }
 
-func (c *conn) parameter(name, value string, a *answer) {
+func (c *conn) processParameter(name, value string, a *answer) {
 	switch name {
 	case "role":
-		a.Role = roleOf(value)
+		a.Role = parseRole(value)
 	case "applied_ms":
 		ms, _ := strconv.ParseInt(value, 10, 64)
-		a.Position = c.position(ms)
+		a.Position = c.validPosition(ms)
 	case "load":
-		a.Report = c.report(value)
+		a.Report = c.parseReport(value)
 	}
 }
 
-func roleOf(name string) choice.Role {
+func parseRole(name string) choice.Role {
 	switch name {
 	case "primary":
 		return choice.Primary
@@ -155,18 +155,18 @@
 	return choice.RoleUnknown
 }
 
-// position is a time at which a server may stand. One clock is read by all, so a time well past the present is noise.
-func (c *conn) position(ms int64) time.Duration {
+// validPosition is a time at which a server may stand. One clock is read by all, so a time well past the present is noise.
+func (c *conn) validPosition(ms int64) time.Duration {
 	at, ok := c.pool.clock.FromUnix(ms)
-	if !ok || at > c.pool.clock.Now()+c.pool.told.ConnectTimeout {
+	if !ok || at > c.pool.clock.Now()+c.pool.settings.ConnectTimeout {
 		return choice.LongPast
 	}
 	return at
 }
 
-// report reads the values of a load report that are known here, as in x0=1767225600.123,x1=1. A report of which any
+// parseReport reads the values of a load parseReport that are known here, as in x0=1767225600.123,x1=1. A parseReport of which any
 // field cannot be read is none.
-func (c *conn) report(text string) *exchange.Report {
+func (c *conn) parseReport(text string) *exchange.Report {
 	r := &exchange.Report{Position: choice.LongPast}
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
@@ -177,7 +177,7 @@
 		switch name {
 		case "x0":
 			// The number may have been rounded up: a millisecond less never claims too much.
-			if r.Position = c.position(int64(v*1000) - 1); r.Position == choice.LongPast {
+			if r.Position = c.validPosition(int64(v*1000) - 1); r.Position == choice.LongPast {
 				return nil
 			}
 		case "x1":
--- a/internal/serverside/serverside_test.go
+++ b/internal/serverside/serverside_test.go
@@ -22,13 +22,13 @@
 	"gorsewell/internal/standin"
 )
 
-// ends collects how sends and probes end.
-type ends chan exchange.Ended
+// results collects how sends and probes end.
+type results chan exchange.Ended
 
-func (e ends) SendEnded(_ *exchange.Exchange, _ uint8, _ uint32, r exchange.Ended) { e <- r }
-func (e ends) ProbeEnded(_ uint32, r exchange.Ended)                               { e <- r }
+func (e results) SendEnded(_ *exchange.Exchange, _ uint8, _ uint32, r exchange.Ended) { e <- r }
+func (e results) ProbeEnded(_ uint32, r exchange.Ended)                               { e <- r }
 
-func (e ends) next(t *testing.T) exchange.Ended {
+func (e results) wait(t *testing.T) exchange.Ended {
 	t.Helper()
 	select {
 	case r := <-e:
@@ -39,10 +39,10 @@
 	}
 }
 
-const server = 7
+const testServer = 7
 
-// pool is a pool with one server, at which the database answers.
-func pool(t *testing.T, most int, d *standin.Database) (*Pool, ends) {
+// newPool is a newPool with one server, at which the database answers.
+func newPool(t *testing.T, most int, d *standin.Database) (*Pool, results) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,9 +51,9 @@
 	go d.Serve(l)
 	told := &deployment.Told{ConnectTimeout: 200 * time.Millisecond, IdleTime: time.Second, ReportNames: []string{"x0", "x1"}}
 	ctx, cancel := context.WithCancel(context.Background())
-	e := make(ends, 16)
+	e := make(results, 16)
 	p := New(ctx, exchange.StartClock(), e, &counters.Set{}, told, most)
-	p.Locate(map[uint32]string{server: l.Addr().String()})
+	p.Locate(map[uint32]string{testServer: l.Addr().String()})
 	t.Cleanup(func() {
 		l.Close()
 		cancel()
@@ -65,7 +65,7 @@
 	return p, e
 }
 
-func op(t *testing.T) *exchange.Exchange {
+func newOp(t *testing.T) *exchange.Exchange {
 	t.Helper()
 	s, err := pgwire.Describe([]byte("SELECT data FROM facts WHERE code = 'k' /* id=1,c=lookup,d=400,cluster=3 */"))
 	if err != nil {
@@ -74,25 +74,25 @@
 	return &exchange.Exchange{Statement: s, Done: make(chan struct{})}
 }
 
-// send has the op's client wait until then.
-func (p *Pool) send(x *exchange.Exchange, number uint8, server uint32, due time.Duration) {
+// sendUntil has the op's client wait until then.
+func (p *Pool) sendUntil(x *exchange.Exchange, number uint8, server uint32, due time.Duration) {
 	x.Due = due
 	p.Send(x, number, server, due)
 }
 
-func (p *Pool) soon() time.Duration { return p.clock.Now() + 5*time.Second }
+func (p *Pool) testDeadline() time.Duration { return p.clock.Now() + 5*time.Second }
 
 func TestAnAckBringsValueRoleAndPosition(t *testing.T) {
 	at := time.Now().Add(-3 * time.Second).UnixMilli()
 	asked := make(chan string, 4)
-	p, e := pool(t, 8, &standin.Database{Answer: func(q string) ([]byte, bool) {
+	p, e := newPool(t, 8, &standin.Database{Answer: func(q string) ([]byte, bool) {
 		asked <- q
 		return standin.Row("value", "replica", at), true
 	}})
 	for i := range 2 {
 		before := p.clock.Now()
-		p.send(op(t), uint8(i), server, before+300*time.Millisecond)
-		r := e.next(t)
+		p.sendUntil(newOp(t), uint8(i), testServer, before+300*time.Millisecond)
+		r := e.wait(t)
 		whole := standin.Row("value", "replica", at)
 		row, _, _ := strings.Cut(string(whole), "S\x00\x00\x00\x11role")
 		if r.Result != choice.Acked || r.Role != choice.Replica || string(r.Answer) != row {
@@ -140,9 +140,9 @@
 		{"notices without an end", bytes.Repeat(pgwire.AppendMessage(nil, pgwire.NoticeResponse, strings.Repeat("x", 8000)), 50), true, choice.Reset},
 		{"silence", nil, true, choice.TimedOut},
 	} {
-		p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return c.answer, c.stays }})
-		p.send(op(t), 0, server, p.clock.Now()+300*time.Millisecond)
-		if r := e.next(t); r.Result != c.want || r.Result == choice.Reset && (r.Role != 0 || r.Took > 200*time.Millisecond) {
+		p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return c.answer, c.stays }})
+		p.sendUntil(newOp(t), 0, testServer, p.clock.Now()+300*time.Millisecond)
+		if r := e.wait(t); r.Result != c.want || r.Result == choice.Reset && (r.Role != 0 || r.Took > 200*time.Millisecond) {
 			t.Errorf("%s: %+v, want %d", c.name, r, c.want)
 		}
 	}
@@ -155,15 +155,15 @@
 	for _, after := range []time.Duration{0, time.Millisecond, rest / 4} {
 		var asked atomic.Int32
 		row := func(n int32) []byte { return standin.Row(fmt.Sprint("value ", n), "replica", 1) }
-		p, e := pool(t, 8, &standin.Database{Late: after, Answer: func(string) ([]byte, bool) {
+		p, e := newPool(t, 8, &standin.Database{Late: after, Answer: func(string) ([]byte, bool) {
 			n := asked.Add(1)
 			return append(row(n), row(n)...), true
 		}})
-		p.settling = rest
-		p.events = chain{ends: e, next: sync.OnceFunc(func() { p.send(op(t), 1, server, p.soon()) })}
-		p.send(op(t), 0, server, p.soon())
+		p.quietPeriod = rest
+		p.events = chainedEvents{results: e, onSendEnd: sync.OnceFunc(func() { p.sendUntil(newOp(t), 1, testServer, p.testDeadline()) })}
+		p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 		for n := range 2 {
-			if r := e.next(t); r.Result != choice.Acked || !bytes.Contains(r.Answer, fmt.Append(nil, "value ", n+1)) {
+			if r := e.wait(t); r.Result != choice.Acked || !bytes.Contains(r.Answer, fmt.Append(nil, "value ", n+1)) {
 				t.Errorf("after %v: %q, %+v", after, r.Answer, r)
 			}
 		}
@@ -176,12 +176,12 @@
 // On a day of thrice the ops values of 360 KB came, where the protocol's page says 64 KiB: each ended its connection.
 func TestAValueMayBeAsLongAsTheGatewayIsTold(t *testing.T) {
 	value := strings.Repeat("v", 360<<10)
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row(value, "replica", 1), true }})
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row(value, "replica", 1), true }})
 	for longest, want := range map[int]choice.Result{0: choice.Reset, 512 << 10: choice.Acked} {
-		p.told.LongestMessage = longest
-		p.CloseIdle(server)
-		p.send(op(t), 0, server, p.soon())
-		if r := e.next(t); r.Result != want || want == choice.Acked && !strings.Contains(string(r.Answer), value) {
+		p.settings.LongestMessage = longest
+		p.CloseIdle(testServer)
+		p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
+		if r := e.wait(t); r.Result != want || want == choice.Acked && !strings.Contains(string(r.Answer), value) {
 			t.Errorf("told %d: result %d, %d bytes", longest, r.Result, len(r.Answer))
 		}
 	}
@@ -194,12 +194,12 @@
 	value := row[:bytes.Index(row, []byte("S\x00\x00\x00\x11role"))]
 	for _, told := range []string{"role", "role\x00king\x00", "applied_ms\x00soon\x00", "applied_ms\x00" + far + "\x00", "load\x00?\x00",
 		"load\x00x0=1,x1=?\x00", "load\x00x0=1e99,x1=1\x00", "load\x00x1=1,x0=" + far + "\x00", "load\x00x1\x00"} {
-		p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) {
+		p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) {
 			return pgwire.AppendReady(pgwire.AppendMessage(bytes.Clone(value), pgwire.ParameterStatus, told)), true
 		}})
 		for range 2 {
-			p.send(op(t), 0, server, p.soon())
-			if r := e.next(t); r.Result != choice.Acked || r.Role != 0 || r.Position != choice.LongPast || r.Report != nil {
+			p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
+			if r := e.wait(t); r.Result != choice.Acked || r.Role != 0 || r.Position != choice.LongPast || r.Report != nil {
 				t.Errorf("%q: %+v", told, r)
 			}
 		}
@@ -229,25 +229,25 @@
 		}
 		closed <- err
 	}()
-	p, e := pool(t, 8, &standin.Database{})
-	p.Locate(map[uint32]string{server: l.Addr().String()})
-	p.events = chain{ends: e, next: func() {
+	p, e := newPool(t, 8, &standin.Database{})
+	p.Locate(map[uint32]string{testServer: l.Addr().String()})
+	p.events = chainedEvents{results: e, onSendEnd: func() {
 		select {
 		case <-closed:
 		case <-time.After(time.Second):
 			t.Error("the connection is open when the end is told")
 		}
 	}}
-	p.send(op(t), 0, server, p.soon())
-	if r := e.next(t); r.Result != choice.Reset {
+	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
+	if r := e.wait(t); r.Result != choice.Reset {
 		t.Errorf("%+v", r)
 	}
 }
 
 func TestSurplusBehindAWelcomeIsNoConnection(t *testing.T) {
-	p, e := pool(t, 8, &standin.Database{Welcome: append(pgwire.AppendWelcome(nil), standin.Row("v", "replica", 1)...)})
-	p.send(op(t), 0, server, p.soon())
-	if r := e.next(t); r.Result != choice.NoConnection || p.counts.Sent.Load() != 0 {
+	p, e := newPool(t, 8, &standin.Database{Welcome: append(pgwire.AppendWelcome(nil), standin.Row("v", "replica", 1)...)})
+	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
+	if r := e.wait(t); r.Result != choice.NoConnection || p.counts.Sent.Load() != 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -263,22 +263,22 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	p, e := pool(t, 8, &standin.Database{Welcome: pgwire.AppendError(nil, "FATAL", "53300", "too many", "")})
+	p, e := newPool(t, 8, &standin.Database{Welcome: pgwire.AppendError(nil, "FATAL", "53300", "too many", "")})
 	p.Locate(map[uint32]string{8: refused.Addr().String(), 9: silent.Addr().String()})
-	for _, at := range []uint32{server, 8, 9} {
-		p.send(op(t), 0, at, p.soon())
-		r := e.next(t)
-		if r.Result != choice.NoConnection || at == 9 != (r.Took > p.told.ConnectTimeout/2) || r.Took > time.Second {
+	for _, at := range []uint32{testServer, 8, 9} {
+		p.sendUntil(newOp(t), 0, at, p.testDeadline())
+		r := e.wait(t)
+		if r.Result != choice.NoConnection || at == 9 != (r.Took > p.settings.ConnectTimeout/2) || r.Took > time.Second {
 			t.Errorf("server %d: %+v", at, r)
 		}
 	}
 	// Silence is its server's fault too where the op's own time, or a probe's, is over before the connection's.
-	p.send(op(t), 0, 9, p.clock.Now()+30*time.Millisecond)
-	if r := e.next(t); r.Result != choice.NoConnection {
+	p.sendUntil(newOp(t), 0, 9, p.clock.Now()+30*time.Millisecond)
+	if r := e.wait(t); r.Result != choice.NoConnection {
 		t.Errorf("an op with little time: %+v", r)
 	}
 	p.Probe(9)
-	if r := e.next(t); r.Result != choice.NoConnection {
+	if r := e.wait(t); r.Result != choice.NoConnection {
 		t.Errorf("a probe: %+v", r)
 	}
 	if p.counts.Sent.Load() != 0 {
@@ -288,12 +288,12 @@
 
 func TestAServersCloseOfAnIdleConnectionIsSeenBeforeReuse(t *testing.T) {
 	var asked atomic.Int32
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) {
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) {
 		return standin.Row("v", "replica", 1), asked.Add(1) > 1 // the first is closed after its answer
 	}})
 	for range 2 {
-		p.send(op(t), 0, server, p.soon())
-		if r := e.next(t); r.Result != choice.Acked {
+		p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
+		if r := e.wait(t); r.Result != choice.Acked {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -304,7 +304,7 @@
 
 // Here the close is known to the kernel only: the job comes first, and ends the watch that would have seen the close.
 func TestACloseThatCrossesAJobIsSeenWithoutReading(t *testing.T) {
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -319,58 +319,58 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &conn{pool: p, server: server, net: near}
-	if c.gone() {
+	c := &conn{pool: p, server: testServer, net: near}
+	if c.isStale() {
 		t.Error("an open connection counts as gone")
 	}
-	c.free()
-	p.send(op(t), 0, server, p.soon())
+	c.release()
+	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	far.Close()
 	time.Sleep(20 * time.Millisecond)
-	if j := c.rest(); j != nil {
+	if j := c.awaitJob(); j != nil {
 		t.Error("the connection takes the job")
 	}
-	if r := e.next(t); r.Result != choice.Acked || p.counts.Sent.Load() != 1 {
+	if r := e.wait(t); r.Result != choice.Acked || p.counts.Sent.Load() != 1 {
 		t.Errorf("%+v", r)
 	}
 }
 
 func TestIdleConnectionsAreClosedEarly(t *testing.T) {
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
-	for _, wait := range []func(){func() { time.Sleep(600 * time.Millisecond) }, func() { p.CloseIdle(server) },
-		func() { p.Locate(map[uint32]string{server: p.addrs[server]}) }} {
-		p.send(op(t), 0, server, p.soon())
-		e.next(t)
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
+	for _, wait := range []func(){func() { time.Sleep(600 * time.Millisecond) }, func() { p.CloseIdle(testServer) },
+		func() { p.Locate(map[uint32]string{testServer: p.addrs[testServer]}) }} {
+		p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
+		e.wait(t)
 		wait()
 	}
-	p.send(op(t), 0, server, p.soon())
-	e.next(t)
+	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
+	e.wait(t)
 	if opened := p.counts.ServerConns.Load(); opened != 3 { // the same address again closes nothing
 		t.Errorf("%d connections were opened", opened)
 	}
 }
 
 func TestNothingIsKeptOfServersThatAreForgotten(t *testing.T) {
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
 	for id := uint32(100); id < 2100; id++ {
-		p.Locate(map[uint32]string{id: p.addrs[server]})
+		p.Locate(map[uint32]string{id: p.addrs[testServer]})
 		if id%10 == 0 {
-			p.send(op(t), 0, id, p.soon())
-			e.next(t)
+			p.sendUntil(newOp(t), 0, id, p.testDeadline())
+			e.wait(t)
 		}
 		p.Forget(id)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.addrs) != 1 || len(p.idle) != 0 || len(p.out) != 0 {
-		t.Errorf("%d addresses, %d idle lists, %d jobs", len(p.addrs), len(p.idle), len(p.out))
+	if len(p.addrs) != 1 || len(p.idle) != 0 || len(p.sends) != 0 {
+		t.Errorf("%d addresses, %d idle lists, %d jobs", len(p.addrs), len(p.idle), len(p.sends))
 	}
 }
 
 func TestCancel(t *testing.T) {
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return nil, true }})
-	x := op(t)
-	p.send(x, 0, server, p.soon())
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return nil, true }})
+	x := newOp(t)
+	p.sendUntil(x, 0, testServer, p.testDeadline())
 	time.Sleep(50 * time.Millisecond)
 	p.Cancel(x, 1) // another send of the op: nothing happens
 	select {
@@ -379,23 +379,23 @@
 	case <-time.After(50 * time.Millisecond):
 	}
 	p.Cancel(x, 0)
-	if r := e.next(t); r.Result != choice.Cancelled {
+	if r := e.wait(t); r.Result != choice.Cancelled {
 		t.Errorf("%+v", r)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[server]) != 0 {
+	if len(p.idle[testServer]) != 0 {
 		t.Error("an abandoned connection may be used again")
 	}
 }
 
 // The result of a send may bring the next one at once: that one must find the connection idle.
 func TestTheNextSendTakesTheConnectionOfTheOneThatEnds(t *testing.T) {
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
-	p.events = chain{ends: e, next: sync.OnceFunc(func() { p.send(op(t), 0, server, p.soon()) })}
-	p.send(op(t), 0, server, p.soon())
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
+	p.events = chainedEvents{results: e, onSendEnd: sync.OnceFunc(func() { p.sendUntil(newOp(t), 0, testServer, p.testDeadline()) })}
+	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	for range 2 {
-		if r := e.next(t); r.Result != choice.Acked {
+		if r := e.wait(t); r.Result != choice.Acked {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -404,23 +404,23 @@
 	}
 }
 
-// chain does something at the first end of a send.
-type chain struct {
-	ends
-	next func()
+// chainedEvents does something at the first end of a send.
+type chainedEvents struct {
+	results
+	onSendEnd func()
 }
 
-func (c chain) SendEnded(x *exchange.Exchange, n uint8, at uint32, r exchange.Ended) {
-	c.next()
-	c.ends.SendEnded(x, n, at, r)
+func (c chainedEvents) SendEnded(x *exchange.Exchange, n uint8, at uint32, r exchange.Ended) {
+	c.onSendEnd()
+	c.results.SendEnded(x, n, at, r)
 }
 
 func TestNothingIsSentForAnOpThatHasEnded(t *testing.T) {
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
-	x := op(t)
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
+	x := newOp(t)
 	close(x.Done)
-	p.send(x, 0, server, p.soon())
-	if r := e.next(t); r.Result != choice.NotSent || p.counts.Sent.Load() != 0 {
+	p.sendUntil(x, 0, testServer, p.testDeadline())
+	if r := e.wait(t); r.Result != choice.NotSent || p.counts.Sent.Load() != 0 {
 		t.Errorf("%+v, %s", r, p.counts)
 	}
 }
@@ -433,8 +433,8 @@
 		probe   bool
 		happens func(p *Pool, x *exchange.Exchange)
 	}{
-		"withdrawn":         {happens: func(p *Pool, _ *exchange.Exchange) { p.Withdraw(server) }},
-		"a probe withdrawn": {probe: true, happens: func(p *Pool, _ *exchange.Exchange) { p.Withdraw(server) }},
+		"withdrawn":         {happens: func(p *Pool, _ *exchange.Exchange) { p.Withdraw(testServer) }},
+		"a probe withdrawn": {probe: true, happens: func(p *Pool, _ *exchange.Exchange) { p.Withdraw(testServer) }},
 		"cancelled":         {happens: func(p *Pool, x *exchange.Exchange) { p.Cancel(x, 0) }},
 		"its client leaves": {happens: func(_ *Pool, x *exchange.Exchange) { close(x.Done) }},
 		"too late":          {happens: func(*Pool, *exchange.Exchange) {}},
@@ -442,17 +442,17 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			comes, enter := make(chan struct{}), make(chan struct{})
-			p, e := pool(t, 8, &standin.Database{Comes: func() { comes <- struct{}{}; <-enter },
+			p, e := newPool(t, 8, &standin.Database{Comes: func() { comes <- struct{}{}; <-enter },
 				Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
-			p.told.ConnectTimeout = 10 * time.Second
-			x, by := op(t), p.soon()
+			p.settings.ConnectTimeout = 10 * time.Second
+			x, by := newOp(t), p.testDeadline()
 			if x.Due = by; name == "too late" {
 				by = p.clock.Now() + 30*time.Millisecond
 			}
 			if c.probe {
-				p.Probe(server)
+				p.Probe(testServer)
 			} else {
-				p.Send(x, 0, server, by)
+				p.Send(x, 0, testServer, by)
 			}
 			<-comes
 			c.happens(p, x)
@@ -461,7 +461,7 @@
 			} else {
 				defer close(enter)
 			}
-			if r := e.next(t); r.Result != choice.NotSent || r.Took > 3*time.Second || p.counts.Sent.Load() != 0 {
+			if r := e.wait(t); r.Result != choice.NotSent || r.Took > 3*time.Second || p.counts.Sent.Load() != 0 {
 				t.Errorf("%+v, %s", r, p.counts)
 			}
 		})
@@ -471,59 +471,59 @@
 // What has begun goes on, and its answer counts: its server may have done it.
 func TestWhatHasBegunIsNotTakenBack(t *testing.T) {
 	asked, answer := make(chan struct{}), make(chan struct{})
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) {
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) {
 		asked <- struct{}{}
 		<-answer
 		return standin.Row("v", "replica", 1), true
 	}})
-	p.send(op(t), 0, server, p.soon())
+	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	<-asked
-	p.Withdraw(server)
+	p.Withdraw(testServer)
 	close(answer)
-	if r := e.next(t); r.Result != choice.Acked {
+	if r := e.wait(t); r.Result != choice.Acked {
 		t.Errorf("%+v", r)
 	}
 }
 
 // A job that waits for a resting connection has not begun either. The connection goes on.
 func TestWhatWaitsForARestingConnectionIsTakenBack(t *testing.T) {
-	p, e := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
-	p.events = chain{ends: e, next: sync.OnceFunc(func() {
-		p.send(op(t), 1, server, p.soon())
-		p.Withdraw(server)
+	p, e := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
+	p.events = chainedEvents{results: e, onSendEnd: sync.OnceFunc(func() {
+		p.sendUntil(newOp(t), 1, testServer, p.testDeadline())
+		p.Withdraw(testServer)
 	})}
-	p.send(op(t), 0, server, p.soon())
+	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	for _, want := range []choice.Result{choice.Acked, choice.NotSent} {
-		if r := e.next(t); r.Result != want {
+		if r := e.wait(t); r.Result != want {
 			t.Errorf("%+v, want %d", r, want)
 		}
 	}
-	late := op(t)
-	late.Due = p.soon()
-	p.Send(late, 0, server, p.clock.Now())
-	if r := e.next(t); r.Result != choice.NotSent {
+	late := newOp(t)
+	late.Due = p.testDeadline()
+	p.Send(late, 0, testServer, p.clock.Now())
+	if r := e.wait(t); r.Result != choice.NotSent {
 		t.Errorf("after the time by which it may begin: %+v", r)
 	}
-	p.send(op(t), 0, server, p.soon())
-	if r := e.next(t); r.Result != choice.Acked || p.counts.ServerConns.Load() != 1 || p.counts.Sent.Load() != 2 {
+	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
+	if r := e.wait(t); r.Result != choice.Acked || p.counts.ServerConns.Load() != 1 || p.counts.Sent.Load() != 2 {
 		t.Errorf("%+v, %s", r, p.counts)
 	}
 }
 
 func TestWhatMustHoldIsAsserted(t *testing.T) {
-	p, _ := pool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
-	x := op(t)
-	p.out[x] = &job{}
-	if !standin.Breaks(func() { p.send(x, 1, server, p.soon()) }) {
+	p, _ := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
+	x := newOp(t)
+	p.sends[x] = &job{}
+	if !standin.Breaks(func() { p.sendUntil(x, 1, testServer, p.testDeadline()) }) {
 		t.Error("a second send passes")
 	}
-	delete(p.out, x)
+	delete(p.sends, x)
 	near, far := net.Pipe()
 	defer near.Close()
 	far.Close()
-	c := &conn{pool: p, server: server, net: near}
-	c.window.Filled(copy(c.window.Room(), "left over"))
-	if !standin.Breaks(func() { c.serve(&job{by: p.soon(), due: p.soon()}) }) {
+	c := &conn{pool: p, server: testServer, net: near}
+	c.readBuffer.Filled(copy(c.readBuffer.Room(), "left over"))
+	if !standin.Breaks(func() { c.execute(&job{startBy: p.testDeadline(), deadline: p.testDeadline()}) }) {
 		t.Error("a connection with bytes left over passes")
 	}
 }
@@ -531,28 +531,28 @@
 func TestThePoolIsBounded(t *testing.T) {
 	var slow atomic.Bool
 	slow.Store(true)
-	p, e := pool(t, 1, &standin.Database{Answer: func(string) ([]byte, bool) {
+	p, e := newPool(t, 1, &standin.Database{Answer: func(string) ([]byte, bool) {
 		if slow.Load() {
 			time.Sleep(100 * time.Millisecond)
 		}
 		return standin.Row("v", "replica", 1), true
 	}})
-	p.Locate(map[uint32]string{8: p.addrs[server], 9: ""})
-	p.send(op(t), 0, server, p.soon())
-	p.send(op(t), 0, 8, p.soon())
-	if r := e.next(t); r.Result != choice.NotSent {
+	p.Locate(map[uint32]string{8: p.addrs[testServer], 9: ""})
+	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
+	p.sendUntil(newOp(t), 0, 8, p.testDeadline())
+	if r := e.wait(t); r.Result != choice.NotSent {
 		t.Errorf("%+v", r)
 	}
-	if r := e.next(t); r.Result != choice.Acked {
+	if r := e.wait(t); r.Result != choice.Acked {
 		t.Errorf("%+v", r)
 	}
 	slow.Store(false)
-	p.send(op(t), 0, 8, p.soon()) // an idle connection to another server makes room
-	if r := e.next(t); r.Result != choice.Acked {
+	p.sendUntil(newOp(t), 0, 8, p.testDeadline()) // an idle connection to another server makes room
+	if r := e.wait(t); r.Result != choice.Acked {
 		t.Errorf("%+v", r)
 	}
-	p.send(op(t), 0, 9, p.soon())
-	if r := e.next(t); r.Result != choice.NotSent {
+	p.sendUntil(newOp(t), 0, 9, p.testDeadline())
+	if r := e.wait(t); r.Result != choice.NotSent {
 		t.Errorf("a server without an address: %+v", r)
 	}
 }
@@ -560,12 +560,12 @@
 func TestProbes(t *testing.T) {
 	at := time.Now().Add(-time.Second)
 	asked := make(chan string, 1)
-	p, e := pool(t, 8, &standin.Database{Answer: func(q string) ([]byte, bool) {
+	p, e := newPool(t, 8, &standin.Database{Answer: func(q string) ([]byte, bool) {
 		asked <- q
 		return standin.Row(fmt.Sprintf("queue=3,x0=%.3f,x1=1", float64(at.UnixMilli())/1000), "primary", 0), true
 	}})
-	p.Probe(server)
-	r := e.next(t)
+	p.Probe(testServer)
+	r := e.wait(t)
 	if q := <-asked; r.Result != choice.Acked || q != "SHOW load" || r.Report == nil || r.Report.Role != choice.Primary {
 		t.Fatalf("%+v after %q", r, q)
 	}
@@ -573,9 +573,9 @@
 	if was, _ := p.clock.FromUnix(at.UnixMilli()); was-r.Report.Position < 0 || was-r.Report.Position > 3*time.Millisecond {
 		t.Errorf("the position is %v, said at %v", r.Report.Position, was)
 	}
-	p.told.ReportNames = nil
-	p.Probe(server)
-	if r := e.next(t); r.Result != choice.Acked || <-asked != "SELECT 1" {
+	p.settings.ReportNames = nil
+	p.Probe(testServer)
+	if r := e.wait(t); r.Result != choice.Acked || <-asked != "SELECT 1" {
 		t.Errorf("%+v", r)
 	}
 }
