--- a/internal/pgwire/answer.go
+++ b/internal/pgwire/answer.go
@@ -2,31 +2,32 @@
 
 import "math"
 
-// serverMessageLimits is how long the messages of a server may be, their length included. What a gateway asks for has one column
-// with a plain name, so most are short: a length that cannot be meant shows at once, not when its bytes fail to come.
+// serverMessageLimits holds the greatest valid length of each type of server message, the length field included.
+// The queries of a gateway return one column with a short name, so most messages are short. The limits reject an
+// implausible length at once rather than when the bytes fail to arrive. Types with a limit of 0 are not accepted.
 var serverMessageLimits = [256]uint32{
 	Authentication:   64,
 	ParameterStatus:  1 << 10,
 	BackendKeyData:   512,
 	ReadyForQuery:    5,
 	RowDescription:   256,
-	DataRow:          math.MaxUint32, // as long as any may be
+	DataRow:          math.MaxUint32, // limited by the reader's maximum only
 	CommandComplete:  128,
 	ErrorResponse:    8 << 10,
 	NoticeResponse:   8 << 10,
 	NotificationResp: 10 << 10,
 }
 
-// NextAnswer is Next for what a server sends: it knows the messages that may come and how long each may be, and looks at
-// a row before all of it has come.
-func NextAnswer(b []byte, most int) (m Message, size int, err error) {
+// NextServerMessage is like Next for messages from a server. It also rejects types that a server does not send here and
+// lengths above the limit of the type, and checks the header of a DataRow before the whole message has arrived.
+func NextAnswer(b []byte, maxLength int) (m Message, size int, err error) {
 	if len(b) == 0 {
 		return m, 0, nil
 	}
 	if serverMessageLimits[b[0]] == 0 {
 		return m, 0, ErrMalformed
 	}
-	if m, size, err = Next(b, most); err != nil || len(b) < 5 {
+	if m, size, err = Next(b, maxLength); err != nil || len(b) < 5 {
 		return m, size, err
 	}
 	n := be.Uint32(b[1:])
@@ -39,7 +40,7 @@
 	return m, size, nil
 }
 
-// OneColumn tells whether the body of a RowDescription describes one column.
+// HasOneColumn reports whether the body of a RowDescription describes exactly one column.
 func OneColumn(body []byte) bool {
 	if len(body) < 2 || be.Uint16(body) != 1 {
 		return false
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,5 +1,5 @@
-// Package pgwire parses and encodes version 3 of PostgreSQL's wire protocol, as far as simple queries
-// need it. It does no I/O: parsers look at bytes already read and return slices of them.
+// Package pgwire parses and encodes the part of version 3 of PostgreSQL's wire protocol that simple queries
+// need. It does no I/O: the parsers work on bytes that were already read and return slices of them.
 package pgwire
 
 import (
@@ -7,7 +7,7 @@
 	"errors"
 )
 
-// The types of messages that are spoken here.
+// The supported message types.
 const (
 	Query            = 'Q'
 	Terminate        = 'X'
@@ -24,14 +24,17 @@
 	BackendKeyData   = 'K'
 )
 
-// Limits on what a peer may claim. A message may be as long as a value of 64 KiB in hexadecimal form and what surrounds
-// it, or longer where the reader says so.
+// Limits on the lengths that a peer may declare, in bytes, the length field included.
 const (
-	MaxMessage    = 160 << 10
-	maxStartupLen = 10000 // as PostgreSQL's own
+	// DefaultMaxMessage has room for a value of 64 KiB in hexadecimal form and the rest of its message.
+	// A reader may allow longer messages.
+	MaxMessage = 160 << 10
+
+	// maxStartupLen is the limit of PostgreSQL itself for a startup packet.
+	maxStartupLen = 10000
 )
 
-// The codes that stand in a startup packet's place for a version.
+// The codes in the version field of a startup packet.
 const (
 	protocolVersion3 = 3 << 16
 	cancelRequest    = 1234<<16 | 5678
@@ -39,23 +42,29 @@
 	gssEncRequest    = 1234<<16 | 5680
 )
 
-// What may be wrong with a peer's bytes.
+// Errors of the parsers. Their texts are sent to clients in error responses.
 var (
+	// ErrMalformed is the error for bytes that are not a valid message.
 	ErrMalformed = errors.New("malformed message")
-	ErrTooLong   = errors.New("message too long")
-	ErrVersion   = errors.New("unsupported protocol version")
+
+	// ErrTooLong is the error for a message that is longer than the reader allows.
+	ErrTooLong = errors.New("message too long")
+
+	// ErrVersion is the error for a startup packet of another protocol version than 3.
+	ErrVersion = errors.New("unsupported protocol version")
 )
 
 var be = binary.BigEndian
 
-// Message is one message; Body is a slice of the bytes that it was parsed from.
+// Message is one protocol message. Body is a slice of the bytes from which it was parsed.
 type Message struct {
 	Type byte
 	Body []byte
 }
 
-// Next returns the first message in b, of at most most bytes, and its size; a size of 0 asks for more bytes.
-func Next(b []byte, most int) (m Message, size int, err error) {
+// Next returns the first message in b and its size in bytes. The size is 0 while the message is incomplete. A message
+// whose length field is greater than maxLength is an error.
+func Next(b []byte, maxLength int) (m Message, size int, err error) {
 	if len(b) < 5 {
 		return m, 0, nil
 	}
@@ -63,7 +72,7 @@
 	switch {
 	case n < 4:
 		return m, 0, ErrMalformed
-	case int64(n) > int64(most):
+	case int64(n) > int64(maxLength):
 		return m, 0, ErrTooLong
 	case len(b) < int(n)+1:
 		return m, 0, nil
@@ -71,54 +80,60 @@
 	return Message{b[0], b[5 : n+1]}, int(n) + 1, nil
 }
 
-// Opening is what a client's first packet asks for.
+// StartupKind is the kind of the first packet of a client.
 type Opening uint8
 
-// The openings.
+// The kinds of first packets.
 const (
+	// StartupSession is a StartupMessage, which starts a session.
 	OpensSession Opening = iota
+
+	// StartupEncryption is an SSLRequest or a GSSENCRequest.
 	OpensEncryption
+
+	// StartupCancel is a CancelRequest.
 	OpensCancel
 )
 
-// Startup reads the packet with which a client begins; a size of 0 asks for more bytes.
-func Startup(b []byte) (o Opening, size int, err error) {
+// ParseStartup parses the first packet of a client and returns its kind and its size in bytes. The size is 0 while the
+// packet is incomplete. A StartupMessage has to name a user.
+func Startup(b []byte) (kind Opening, size int, err error) {
 	if len(b) < 8 {
 		if len(b) >= 4 && (be.Uint32(b) < 8 || be.Uint32(b) > maxStartupLen) {
-			return o, 0, ErrMalformed
+			return kind, 0, ErrMalformed
 		}
-		return o, 0, nil
+		return kind, 0, nil
 	}
 	n, code := be.Uint32(b), be.Uint32(b[4:])
 	switch {
 	case n < 8 || n > maxStartupLen:
-		return o, 0, ErrMalformed
+		return kind, 0, ErrMalformed
 	case len(b) < int(n):
-		return o, 0, nil
+		return kind, 0, nil
 	case code == sslRequest || code == gssEncRequest:
 		return OpensEncryption, int(n), nil
 	case code == cancelRequest:
 		return OpensCancel, int(n), nil
 	case code>>16 != protocolVersion3>>16:
-		return o, 0, ErrVersion
+		return kind, 0, ErrVersion
 	}
-	user := false
+	hasUser := false
 	for rest := b[8:n]; ; {
 		name, value, left, err := cutPair(rest)
 		if err != nil {
-			return o, 0, err
+			return kind, 0, err
 		} else if len(name) == 0 {
-			if len(left) > 0 || !user {
-				return o, 0, ErrMalformed
+			if len(left) > 0 || !hasUser {
+				return kind, 0, ErrMalformed
 			}
 			return OpensSession, int(n), nil
 		}
-		user = user || string(name) == "user" && len(value) > 0
+		hasUser = hasUser || string(name) == "user" && len(value) > 0
 		rest = left
 	}
 }
 
-// cutPair reads a name and its value, each ended by a zero byte; an empty name has no value.
+// cutPair cuts a null-terminated name and its null-terminated value off the front of b. An empty name has no value.
 func cutPair(b []byte) (name, value, rest []byte, err error) {
 	if name, rest, err = CutText(b); err == nil && len(name) > 0 {
 		value, rest, err = CutText(rest)
@@ -126,7 +141,7 @@
 	return name, value, rest, err
 }
 
-// CutText reads a string ended by a zero byte.
+// CutString cuts a null-terminated string off the front of b.
 func CutText(b []byte) (s, rest []byte, err error) {
 	for i, c := range b {
 		if c == 0 {
@@ -136,7 +151,7 @@
 	return nil, nil, ErrMalformed
 }
 
-// Text reads a body that is one string, as a query's is.
+// ParseString parses a body that is a single null-terminated string, such as that of a Query.
 func Text(body []byte) ([]byte, error) {
 	s, rest, err := CutText(body)
 	if err == nil && len(rest) > 0 {
@@ -145,7 +160,7 @@
 	return s, err
 }
 
-// Parameter reads the body of a ParameterStatus.
+// ParseParameterStatus parses the body of a ParameterStatus.
 func Parameter(body []byte) (name, value []byte, err error) {
 	if name, value, rest, err := cutPair(body); err == nil && len(name) > 0 && len(rest) == 0 {
 		return name, value, nil
@@ -153,7 +168,7 @@
 	return nil, nil, ErrMalformed
 }
 
-// Code reads the SQLSTATE from the body of an ErrorResponse.
+// ParseSQLState returns the SQLSTATE code in the body of an ErrorResponse.
 func Code(body []byte) (code []byte, err error) {
 	for len(body) > 0 && body[0] != 0 {
 		value, rest, err := CutText(body[1:])
@@ -171,7 +186,7 @@
 	return code, nil
 }
 
-// Column reads the only column from the body of a DataRow.
+// ParseSingleColumn returns the value in the body of a DataRow that has exactly one column. A null value is an error.
 func Column(body []byte) ([]byte, error) {
 	if len(body) < 6 || be.Uint16(body) != 1 || uint64(be.Uint32(body[2:])) != uint64(len(body)-6) {
 		return nil, ErrMalformed
@@ -179,9 +194,9 @@
 	return body[6:], nil
 }
 
-// AppendMessage appends a message of which body appends the rest.
-func AppendMessage(b []byte, kind byte, parts ...string) []byte {
-	b = append(b, kind, 0, 0, 0, 0)
+// AppendMessage appends a message whose body is the concatenation of parts.
+func AppendMessage(b []byte, messageType byte, parts ...string) []byte {
+	b = append(b, messageType, 0, 0, 0, 0)
 	start := len(b) - 4
 	for _, p := range parts {
 		b = append(b, p...)
@@ -190,7 +205,7 @@
 	return b
 }
 
-// AppendStartup appends the packet with which a client of a database begins.
+// AppendStartup appends a StartupMessage with the given user and database.
 func AppendStartup(b []byte, user, database string) []byte {
 	start := len(b)
 	b = append(b, 0, 0, 0, 0, 0, 3, 0, 0)
@@ -202,12 +217,13 @@
 	return b
 }
 
-// AppendQuery appends a simple query.
+// AppendQuery appends a Query message.
 func AppendQuery(b []byte, statement string) []byte {
 	return AppendMessage(b, Query, statement, "\x00")
 }
 
-// AppendWelcome appends what lets a client in without a password.
+// AppendStartupReply appends the reply to a StartupMessage: AuthenticationOk without a password, the ParameterStatus
+// messages and ReadyForQuery.
 func AppendWelcome(b []byte) []byte {
 	b = AppendMessage(b, Authentication, "\x00\x00\x00\x00")
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
@@ -217,10 +233,10 @@
 	return AppendReady(b)
 }
 
-// AppendReady appends the message that asks for the next query.
+// AppendReady appends a ReadyForQuery outside a transaction.
 func AppendReady(b []byte) []byte { return AppendMessage(b, ReadyForQuery, "I") }
 
-// AppendError appends an ErrorResponse; detail may be empty.
+// AppendError appends an ErrorResponse. Its detail field is omitted if detail is empty.
 func AppendError(b []byte, severity, code, message, detail string) []byte {
 	parts := []string{"S", severity, "\x00V", severity, "\x00C", code, "\x00M", message, "\x00"}
 	if detail != "" {
@@ -229,7 +245,7 @@
 	return AppendMessage(b, ErrorResponse, append(parts, "\x00")...)
 }
 
-// AppendRaw appends a message as it was parsed.
+// AppendRaw appends a parsed message unchanged.
 func AppendRaw(b []byte, m Message) []byte {
 	b = be.AppendUint32(append(b, m.Type), uint32(len(m.Body)+4))
 	return append(b, m.Body...)
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -11,7 +11,7 @@
 const insertStatement = `INSERT INTO facts (code, data) VALUES ('7f3a9c21', '\x9f03') RETURNING data ` +
 	`/* id=9b1f03aa,c=order,d=480,k=5c0f6e1a,cluster=2 */`
 
-func TestMessagesParseHoweverTheyAreSplit(t *testing.T) {
+func TestNextParsesMessagesSplitAcrossReads(t *testing.T) {
 	stream := AppendQuery(nil, "SELECT 1")
 	stream = AppendReady(AppendMessage(stream, ErrorResponse, strings.Repeat("x", 9000)))
 	for _, step := range []int{1, 2, 3, 7, 4096, len(stream)} {
@@ -34,12 +34,12 @@
 		}
 		want := []string{"QSELECT 1\x00", "E" + strings.Repeat("x", 9000), "ZI"}
 		if strings.Join(got, "|") != strings.Join(want, "|") {
-			t.Errorf("steps of %d: got %d messages, %.40q", step, len(got), got)
+			t.Errorf("reads of %d bytes: got other messages than sent: %d messages, %.40q", step, len(got), got)
 		}
 	}
 }
 
-func TestMessageLengthsThatCannotBe(t *testing.T) {
+func TestNextRejectsInvalidLengths(t *testing.T) {
 	for _, c := range []struct {
 		in   string
 		want error
@@ -47,17 +47,17 @@
 		{"Q\x00\x00\x00\x03", ErrMalformed},
 		{"Q\xff\xff\xff\xff", ErrTooLong},
 		{"Q\x00\x02\x80\x01", ErrTooLong},
-		{"Q\x00\x02\x80\x00", nil}, // the longest: the rest is awaited
+		{"Q\x00\x02\x80\x00", nil}, // the greatest valid length: incomplete
 		{"Q\x00", nil},
 		{"Q\x03\x93\x87\x00", ErrTooLong}, // 60 MB
 	} {
 		if _, n, err := Next([]byte(c.in), MaxMessage); err != c.want || n != 0 {
-			t.Errorf("%q: size %d, %v, want %v", c.in, n, err, c.want)
+			t.Errorf("%q: got size %d and error %v, want size 0 and error %v", c.in, n, err, c.want)
 		}
 	}
 }
 
-func TestAnswersThatCannotBeShowBeforeTheyHaveCome(t *testing.T) {
+func TestNextServerMessageRejectsInvalidMessagesEarly(t *testing.T) {
 	for _, c := range []struct {
 		in   string
 		want error
@@ -74,13 +74,13 @@
 		{"Z\x00\x00\x00\x03", ErrMalformed},
 	} {
 		if _, n, err := NextAnswer([]byte(c.in), MaxMessage); err != c.want || n != 0 {
-			t.Errorf("%q: size %d, %v, want %v", c.in, n, err, c.want)
+			t.Errorf("%q: got size %d and error %v, want size 0 and error %v", c.in, n, err, c.want)
 		}
 	}
 }
 
-func TestStartup(t *testing.T) {
-	good := AppendStartup(nil, "portal", "crm")
+func TestParseStartup(t *testing.T) {
+	valid := AppendStartup(nil, "portal", "crm")
 	for _, c := range []struct {
 		name string
 		in   []byte
@@ -88,9 +88,9 @@
 		size int
 		err  error
 	}{
-		{"session with a query behind it", append(bytes.Clone(good), 'Q'), OpensSession, len(good), nil},
-		{"part", good[:len(good)-1], OpensSession, 0, nil},
-		{"three bytes", good[:3], OpensSession, 0, nil},
+		{"session followed by a query", append(bytes.Clone(valid), 'Q'), OpensSession, len(valid), nil},
+		{"incomplete", valid[:len(valid)-1], OpensSession, 0, nil},
+		{"three bytes", valid[:3], OpensSession, 0, nil},
 		{"encryption", []byte{0, 0, 0, 8, 4, 210, 22, 47}, OpensEncryption, 8, nil},
 		{"GSS encryption", []byte{0, 0, 0, 8, 4, 210, 22, 48}, OpensEncryption, 8, nil},
 		{"cancel", []byte{0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2}, OpensCancel, 16, nil},
@@ -98,32 +98,32 @@
 		{"too short", []byte{0, 0, 0, 7}, OpensSession, 0, ErrMalformed},
 		{"too long", []byte{0, 0, 0x27, 0x11}, OpensSession, 0, ErrMalformed},
 		{"no user", []byte{0, 0, 0, 9, 0, 3, 0, 0, 0}, OpensSession, 0, ErrMalformed},
-		{"no last zero", []byte{0, 0, 0, 14, 0, 3, 0, 0, 'u', 's', 'e', 'r', 0, 'x'}, OpensSession, 0, ErrMalformed},
+		{"no terminator", []byte{0, 0, 0, 14, 0, 3, 0, 0, 'u', 's', 'e', 'r', 0, 'x'}, OpensSession, 0, ErrMalformed},
 		{"HTTP", []byte("GET / HTTP/1.1\r\n"), OpensSession, 0, ErrMalformed},
 	} {
-		o, n, err := Startup(c.in)
-		if o != c.want || n != c.size || err != c.err {
-			t.Errorf("%s: %d, size %d, %v", c.name, o, n, err)
+		kind, n, err := Startup(c.in)
+		if kind != c.want || n != c.size || err != c.err {
+			t.Errorf("%s: got kind %d, size %d, error %v", c.name, kind, n, err)
 		}
 	}
 }
 
-func TestStatementIsTakenApart(t *testing.T) {
+func TestParseStatement(t *testing.T) {
 	s, err := Describe([]byte(insertStatement))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if string(s.ID) != "9b1f03aa" || string(s.OpType) != "order" || string(s.Key) != "7f3a9c21" ||
 		s.Remaining != 480*time.Millisecond || s.Group != 2 || s.After != 0 || s.Again {
-		t.Errorf("%+v", s)
+		t.Errorf("got %+v", s)
 	}
 	s, err = Describe([]byte(`SELECT data FROM facts WHERE code = 'a' /* id=1,c=b,d=5,r=1,after=1767225600123 */;`))
 	if err != nil || s.After != 1767225600123 || !s.Again || s.Group != 0 {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("got %+v, error %v", s, err)
 	}
 }
 
-func TestOnlyTheRemainingTimeChanges(t *testing.T) {
+func TestStatementAppendQueryReplacesOnlyRemainingTime(t *testing.T) {
 	s, err := Describe([]byte(insertStatement))
 	if err != nil {
 		t.Fatal(err)
@@ -131,46 +131,46 @@
 	m, n, err := Next(s.AppendQuery(nil, 77999*time.Microsecond), MaxMessage)
 	want := strings.Replace(insertStatement, "d=480", "d=77", 1) + "\x00"
 	if err != nil || n != len(want)+5 || m.Type != Query || string(m.Body) != want {
-		t.Errorf("%q, size %d, %v", m.Body, n, err)
+		t.Errorf("got %q of size %d, error %v", m.Body, n, err)
 	}
 }
 
-func TestUnusableComments(t *testing.T) {
+func TestParseStatementRejectsInvalidComments(t *testing.T) {
 	for _, text := range []string{"", "SELECT 1", "/*", "/*/", "*/", "/**/", "SELECT 1 /* id=1,c=b */", "/* id=1,d=5 */",
 		"/* c=b,d=5 */", "/* id=1,c=b,d=-5 */", "/* id=1,c=b,d= */", "/* id=1,c=b,d=99999999999 */",
 		"/* id=1,c=b,d=5,cluster=70000 */", "/* id=1,c=b,d=5,after=x */",
 		"/* id=1,c=b,d=5,after=9007199254740991 */", "/* id=1,c=b,d=5 */ SELECT 1", "/* id=1,c=b,d=5,z */"} {
 		if _, err := Describe([]byte(text)); !errors.Is(err, ErrComment) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v", text, err)
 		}
 	}
 }
 
-func TestBodies(t *testing.T) {
+func TestParseMessageBodies(t *testing.T) {
 	m, _, _ := Next(AppendError(nil, "ERROR", "53300", "busy", "250"), MaxMessage)
 	if code, err := Code(m.Body); err != nil || string(code) != "53300" {
-		t.Errorf("code %q, %v", code, err)
+		t.Errorf("got code %q, error %v", code, err)
 	}
 	for _, bad := range []string{"", "C53300\x00", "C533\x00\x00", "Mx\x00\x00", "C53300"} {
 		if code, err := Code([]byte(bad)); err != ErrMalformed {
-			t.Errorf("%q: code %q, %v", bad, code, err)
+			t.Errorf("%q: got code %q, error %v, want ErrMalformed", bad, code, err)
 		}
 	}
 	if name, value, err := Parameter([]byte("role\x00primary\x00")); err != nil || string(name) != "role" ||
 		string(value) != "primary" {
-		t.Errorf("%q=%q, %v", name, value, err)
+		t.Errorf("got parameter %q=%q, error %v", name, value, err)
 	}
 	for _, bad := range []string{"", "role", "role\x00", "role\x00a", "role\x00a\x00b", "\x00\x00"} {
 		if _, _, err := Parameter([]byte(bad)); err != ErrMalformed {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("%q: got error %v, want ErrMalformed", bad, err)
 		}
 	}
 	if v, err := Column([]byte("\x00\x01\x00\x00\x00\x02ab")); err != nil || string(v) != "ab" {
-		t.Errorf("%q, %v", v, err)
+		t.Errorf("got column %q, error %v", v, err)
 	}
 	for _, bad := range []string{"", "\x00\x02\x00\x00\x00\x02ab", "\x00\x01\x00\x00\x00\x03ab", "\x00\x01\xff\xff\xff\xff"} {
 		if _, err := Column([]byte(bad)); err != ErrMalformed {
-			t.Errorf("%q: %v", bad, err)
+			t.Errorf("%q: got error %v, want ErrMalformed", bad, err)
 		}
 	}
 }
@@ -180,15 +180,15 @@
 	f.Add(AppendStartup(nil, "portal", "crm"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if _, n, err := Startup(b); n > len(b) || n > 0 && err != nil {
-			t.Errorf("startup of %d bytes, %v", n, err)
+			t.Errorf("startup packet: got size %d, error %v", n, err)
 		}
 		for rest := b; ; {
 			m, n, err := Next(rest, MaxMessage)
 			if n == 0 || err != nil {
 				return
 			}
-			if again := AppendRaw(nil, m); !bytes.Equal(again, rest[:n]) {
-				t.Errorf("%q became %q", rest[:n], again)
+			if encoded := AppendRaw(nil, m); !bytes.Equal(encoded, rest[:n]) {
+				t.Errorf("got %[2]q, want %[1]q", rest[:n], encoded)
 			}
 			Code(m.Body)
 			Parameter(m.Body)
@@ -205,11 +205,11 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, n, err := NextAnswer(b, MaxMessage)
 		if n > len(b) || n > 0 && (err != nil || len(m.Body) != n-5) {
-			t.Fatalf("size %d of %d, %v", n, len(b), err)
+			t.Fatalf("got size %d of %d bytes, error %v", n, len(b), err)
 		}
-		for i := range n { // what is good when whole was never called bad before
+		for i := range n { // no prefix of a valid message is rejected
 			if _, _, err := NextAnswer(b[:i], MaxMessage); err != nil {
-				t.Fatalf("%v after %d bytes of %d", err, i, n)
+				t.Fatalf("got error %v after %d bytes of %d", err, i, n)
 			}
 		}
 		if n > 0 && m.Type == DataRow {
@@ -233,9 +233,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := Describe(m.Body[:len(m.Body)-1])
-		if err != nil || again.Remaining != s.Remaining || !bytes.Equal(again.ID, s.ID) {
-			t.Errorf("%q became %q, %v", text, m.Body, err)
+		reparsed, err := Describe(m.Body[:len(m.Body)-1])
+		if err != nil || reparsed.Remaining != s.Remaining || !bytes.Equal(reparsed.ID, s.ID) {
+			t.Errorf("%q: got query %q, error %v", text, m.Body, err)
 		}
 	})
 }
--- a/internal/pgwire/statement.go
+++ b/internal/pgwire/statement.go
@@ -7,52 +7,74 @@
 	"time"
 )
 
-// ErrComment says that a statement lacks the comment that describes the op, or that it cannot be used.
+// ErrComment is the error for a statement without the comment that describes the op, or with an invalid one.
 var ErrComment = errors.New("no usable comment")
 
-// Statement is a query's text taken apart. All slices are of that text.
+// Statement is a parsed query. All its slices are slices of Text.
 type Statement struct {
-	Text                         []byte
-	ID, OpType, Key              []byte
-	Remaining                    time.Duration // for which the client waits
-	Group                        uint16
-	After                        int64 // Unix milliseconds of the position to see, 0 where none is told
-	Again                        bool  // a client's retry
-	remainingStart, remainingEnd int   // where the digits of d stand
+	// Text is the whole text of the query.
+	Text []byte
+
+	// ID is the client's id for the op.
+	ID []byte
+
+	// OpType is the name of the op type.
+	OpType []byte
+
+	// Key is the first quoted string in the statement, empty if there is none.
+	Key []byte
+
+	// Remaining is how long the client keeps waiting for the answer.
+	Remaining time.Duration
+
+	// Group is the group of servers that the op is for.
+	Group uint16
+
+	// After is the log position that the op has to see, in Unix milliseconds, or 0 for none.
+	After int64
+
+	// Retry is true if the client sends the op again.
+	Again bool
+
+	// remainingStart is the offset in Text of the first digit of field d.
+	remainingStart int
+
+	// remainingEnd is the offset in Text after the last digit of field d.
+	remainingEnd int
 }
 
-// Describe reads the quoted key and the comment of a statement.
+// ParseStatement parses the first quoted string and the trailing comment of a statement.
 func Describe(text []byte) (*Statement, error) {
 	s := &Statement{Text: text}
-	end := bytes.TrimRight(text, " ;\n")
-	open := bytes.LastIndex(end, []byte("/*"))
-	if open < 0 || !bytes.HasSuffix(end, []byte("*/")) || open+4 > len(end) {
+	trimmed := bytes.TrimRight(text, " ;\n")
+	commentStart := bytes.LastIndex(trimmed, []byte("/*"))
+	if commentStart < 0 || !bytes.HasSuffix(trimmed, []byte("*/")) || commentStart+4 > len(trimmed) {
 		return s, ErrComment
 	}
-	at, last := open+2, len(end)-2
-	for at < last {
-		stop := bytes.IndexByte(text[at:last], ',')
-		if stop < 0 {
-			stop = last - at
+	offset, commentEnd := commentStart+2, len(trimmed)-2
+	for offset < commentEnd {
+		length := bytes.IndexByte(text[offset:commentEnd], ',')
+		if length < 0 {
+			length = commentEnd - offset
 		}
-		if err := s.parseField(at, text[at:at+stop]); err != nil {
+		if err := s.parseField(offset, text[offset:offset+length]); err != nil {
 			return s, err
 		}
-		at += stop + 1
+		offset += length + 1
 	}
 	if len(s.ID) == 0 || len(s.OpType) == 0 || s.remainingEnd == 0 {
 		return s, ErrComment
 	}
-	if q := bytes.IndexByte(text[:open], '\''); q >= 0 {
-		if n := bytes.IndexByte(text[q+1:open], '\''); n >= 0 {
-			s.Key = text[q+1 : q+1+n]
+	if quote := bytes.IndexByte(text[:commentStart], '\''); quote >= 0 {
+		if n := bytes.IndexByte(text[quote+1:commentStart], '\''); n >= 0 {
+			s.Key = text[quote+1 : quote+1+n]
 		}
 	}
 	return s, nil
 }
 
-// parseField reads one name and value of the comment, which stands at the given place in the text.
-func (s *Statement) parseField(at int, raw []byte) error {
+// parseField parses one name=value field of the comment. The offset is that of the field in the text.
+func (s *Statement) parseField(offset int, raw []byte) error {
 	name, value, ok := bytes.Cut(bytes.TrimSpace(raw), []byte("="))
 	if !ok {
 		return ErrComment
@@ -67,7 +89,7 @@
 	case "d":
 		n, err = parseNumber(value, 32)
 		s.Remaining = time.Duration(n) * time.Millisecond
-		s.remainingStart = at + bytes.IndexByte(raw, '=') + 1
+		s.remainingStart = offset + bytes.IndexByte(raw, '=') + 1
 		s.remainingEnd = s.remainingStart + len(value)
 	case "cluster":
 		n, err = parseNumber(value, 16)
@@ -81,6 +103,7 @@
 	return err
 }
 
+// parseNumber parses an unsigned decimal number of at most the given number of bits.
 func parseNumber(b []byte, bits int) (uint64, error) {
 	n, err := strconv.ParseUint(string(b), 10, bits)
 	if err != nil {
@@ -89,7 +112,7 @@
 	return n, nil
 }
 
-// AppendQuery appends the query that passes the statement on, unchanged but for the time that remains.
+// AppendQuery appends a Query message with the statement, in which only the remaining time (field d) is replaced.
 func (s *Statement) AppendQuery(b []byte, remaining time.Duration) []byte {
 	start := len(b)
 	b = append(b, Query, 0, 0, 0, 0)
--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -13,13 +13,15 @@
 	"gorsewell/internal/pgwire"
 )
 
-// The name under which the gateway comes to servers, whoever its clients are, and the database that every server has.
 const (
-	user     = "gorsewell"
+	// user is the user that the gateway names to servers, whoever its clients are.
+	user = "gorsewell"
+
+	// database is the database that the gateway names. Every server has it.
 	database = "postgres"
 )
 
-// quietPeriod is how long a connection rests after an answer.
+// quietPeriod is how long a connection must stay silent after a response before the next query is written to it.
 const quietPeriod = 5 * time.Millisecond
 
 // conn is one connection to a server.
@@ -28,44 +30,53 @@
 	server     uint32
 	net        net.Conn
 	readBuffer pgwire.Window
-	query      []byte        // the query being written
-	releasedAt time.Duration // when its last answer ended; guarded by the pool's mutex
-	job        *job          // handed over while idle; guarded by the pool's mutex
-	closing    bool          // taken out of the idle list to be closed; guarded by the pool's mutex
+
+	// query is the encoded query that is being written.
+	query []byte
+
+	// releasedAt is when the last response was complete. It is guarded by the pool's mutex.
+	releasedAt time.Duration
+
+	// job is the job that was handed over while the connection was idle. It is guarded by the pool's mutex.
+	job *job
+
+	// closing is true once the connection is no longer idle and has to be closed. It is guarded by the pool's mutex.
+	closing bool
 }
 
-// connect opens a connection for the job and then serves with it until it closes.
+// connect opens a connection for the job, then executes it and later jobs until the connection closes.
 func (p *Pool) connect(ctx context.Context, j *job, addr string) {
-	nc, err := dialer.DialContext(ctx, "tcp", addr)
+	netConn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		p.connectFailed(j)
 		return
 	}
-	defer nc.Close()
+	defer netConn.Close()
 	p.counts.ServerConns.Add(1)
-	c := &conn{pool: p, server: j.server, net: nc, readBuffer: pgwire.Window{Most: p.settings.LongestMessage}}
-	until, _ := ctx.Deadline()
-	nc.SetDeadline(until)
+	c := &conn{pool: p, server: j.server, net: netConn, readBuffer: pgwire.Window{Most: p.settings.LongestMessage}}
+	deadline, _ := ctx.Deadline()
+	netConn.SetDeadline(deadline)
 	if !p.attach(j, c) || !c.startup() {
 		p.connectFailed(j)
 		return
 	}
 	for j != nil {
-		e, whole := c.execute(j)
-		if whole {
-			c.release() // before the result is told, as that may bring the next job
+		e, reusable := c.execute(j)
+		if reusable {
+			c.release() // before the result is reported, as that may lead to the next job
 		} else {
-			nc.Close() // before it, as the op may be sent again, and two sends must never be out
+			netConn.Close() // before the result is reported: the op may then be sent again, and it must never have two open sends
 		}
 		p.finish(j, e)
-		if !whole {
+		if !reusable {
 			return
 		}
 		j = c.awaitJob()
 	}
 }
 
-// connectFailed ends a job for which no connection came up. That is no fault of its server's where a rule ended the job's time first.
+// connectFailed finishes a job for which no connection could be opened. The server is not at fault if the job's startBy
+// was earlier than its deadline and ended the attempt: then the result is NotSent.
 func (p *Pool) connectFailed(j *job) {
 	p.counts.ServerRefused.Add(1)
 	e := exchange.Ended{Result: choice.NoConnection, Position: choice.LongPast}
@@ -75,7 +86,7 @@
 	p.finish(j, e)
 }
 
-// attach notes which connection has the job; false if it was given up meanwhile.
+// attach records the connection of the job. It returns false if the job was cancelled in the meantime.
 func (p *Pool) attach(j *job, c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,29 +94,29 @@
 	return !j.cancelled
 }
 
-// startup says who comes and reads until the server is ready.
+// startup sends the StartupMessage and reads until the server is ready for a query. It returns false if that fails.
 func (c *conn) startup() bool {
 	c.query = pgwire.AppendStartup(c.query[:0], user, database)
 	if _, err := c.net.Write(c.query); err != nil {
 		return false
 	}
-	for read := 0; ; {
+	for bytesRead := 0; ; {
 		m, err := c.readMessage()
 		switch {
 		case err != nil || m.Type == pgwire.ErrorResponse:
 			return false
 		case m.Type == pgwire.ReadyForQuery:
-			return len(c.readBuffer.Bytes()) == 0 // what follows belongs to nothing
+			return len(c.readBuffer.Bytes()) == 0 // surplus bytes would be read as part of the first response
 		case m.Type == pgwire.Authentication && string(m.Body) != "\x00\x00\x00\x00":
 			return false
 		}
-		if read += 5 + len(m.Body); read > pgwire.MaxMessage {
+		if bytesRead += 5 + len(m.Body); bytesRead > pgwire.MaxMessage {
 			return false
 		}
 	}
 }
 
-// release puts the connection among the idle ones.
+// release returns the connection to the idle list.
 func (c *conn) release() {
 	p := c.pool
 	p.mu.Lock()
@@ -115,19 +126,19 @@
 		c.net.SetDeadline(exchange.Past)
 		return
 	}
-	// Closed long before the server does it, so that no query crosses the server's close.
-	var until time.Time
+	// Close the connection long before the server closes it, so that no query crosses the server's close.
+	var deadline time.Time
 	if p.settings.IdleTime > 0 {
-		until = time.Now().Add(p.settings.IdleTime / 2)
+		deadline = time.Now().Add(p.settings.IdleTime / 2)
 	}
-	c.net.SetDeadline(until)
+	c.net.SetDeadline(deadline)
 	p.idle[c.server] = append(p.idle[c.server], c)
 }
 
-// awaitJob waits for a job; nil if the connection is to be closed.
+// awaitJob waits for the next job. It returns nil if the connection has to be closed.
 func (c *conn) awaitJob() *job {
 	p := c.pool
-	_, err := c.net.Read(c.readBuffer.Room()) // nothing is due: a byte or an end closes it, a job ends the wait
+	_, err := c.net.Read(c.readBuffer.Room()) // no response is pending: data or EOF closes the connection, a job ends the read
 	p.mu.Lock()
 	j := c.job
 	if j == nil && !c.closing {
@@ -141,7 +152,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.staysQuiet() && !c.isStale() {
 		return j
 	}
-	// The server closed it; as nothing was written the job takes another.
+	// The server closed the connection or sent surplus bytes. Nothing was written, so the job can use another connection.
 	p.counts.ServerBroken.Add(1)
 	p.mu.Lock()
 	j.conn = nil
@@ -150,25 +161,25 @@
 	return nil
 }
 
-// staysQuiet waits until what belongs behind the last answer has had time to come: its server's close, or bytes that
-// must not pass for the next answer. It is false if anything came.
+// staysQuiet waits until the quiet period after the last response is over. In it the server's close or surplus bytes,
+// which must not be taken for the next response, have time to arrive. It returns false if anything arrived.
 func (c *conn) staysQuiet() bool {
-	if until := c.releasedAt + c.pool.quietPeriod; c.pool.clock.Now() < until {
-		c.net.SetReadDeadline(c.pool.clock.Time(until))
+	if quietUntil := c.releasedAt + c.pool.quietPeriod; c.pool.clock.Now() < quietUntil {
+		c.net.SetReadDeadline(c.pool.clock.Time(quietUntil))
 		_, err := c.net.Read(c.readBuffer.Room())
 		return errors.Is(err, os.ErrDeadlineExceeded)
 	}
 	return true
 }
 
-// removeIdle takes the connection out of the idle list. The mutex is held.
+// removeIdle removes the connection from the idle list. The caller holds the mutex.
 func (p *Pool) removeIdle(c *conn) {
 	if i := slices.Index(p.idle[c.server], c); i >= 0 {
 		p.removeIdleAt(c.server, i)
 	}
 }
 
-// close closes a connection that was taken out of the idle list. The mutex is held.
+// close closes a connection that was removed from the idle list. The caller holds the mutex.
 func (c *conn) close() {
 	c.closing = true
 	c.net.SetDeadline(exchange.Past)
--- a/internal/serverside/pool.go
+++ b/internal/serverside/pool.go
@@ -1,5 +1,5 @@
-// Package serverside carries sends and probes to the database servers and brings back how they ended. Its
-// files follow a send: pool (finds a connection), connect, send, receive.
+// Package serverside executes sends and probes on the database servers and reports their results. Its files follow
+// the path of a send: pool (finds a connection), connect, send, receive.
 package serverside
 
 import (
@@ -19,8 +19,8 @@
 	"gorsewell/internal/invariant"
 )
 
-// Pool holds the connections to all servers. A connection carries one send at a time and belongs to one
-// goroutine, which also watches it while it is idle.
+// Pool holds the connections to all servers. A connection executes one job at a time and has its own goroutine, which
+// also watches it while it is idle.
 type Pool struct {
 	clock    exchange.Clock
 	events   exchange.Events
@@ -28,44 +28,73 @@
 	settings *deployment.Told
 	maxConns int
 
-	quietPeriod time.Duration // how long a connection rests after an answer
+	// quietPeriod is the constant of this name, except in tests.
+	quietPeriod time.Duration
 
-	ctx       context.Context
-	group     *errgroup.Group
-	mu        sync.Mutex // guards all below and the jobs' and connections' fields that say so
-	addrs     map[uint32]string
-	idle      map[uint32][]*conn // the one used last comes last
-	sends     map[*exchange.Exchange]*job
-	probes    map[uint32]*job // that are out, by server
+	ctx   context.Context
+	group *errgroup.Group
+
+	// mu guards all fields below and those fields of jobs and connections that say so.
+	mu sync.Mutex
+
+	// addrs holds the address of each server.
+	addrs map[uint32]string
+
+	// idle holds the idle connections to each server, the most recently used one last.
+	idle map[uint32][]*conn
+
+	// sends holds the open send of each op.
+	sends map[*exchange.Exchange]*job
+
+	// probes holds the open probe of each server.
+	probes map[uint32]*job
+
+	// openConns is the number of connections that are open or being opened.
 	openConns int
-	closed    bool
+
+	// closed is true once no connection may become idle any more.
+	closed bool
 }
 
-// job is one send, or one probe where x is nil.
+// job is a send, or a probe if op is nil.
 type job struct {
-	op          *exchange.Exchange
-	number      uint8
+	op *exchange.Exchange
+
+	// number is the number of the send among the sends of its op.
+	number uint8
+
 	server      uint32
 	submittedAt time.Duration
-	startBy     time.Duration // it begins before that or not at all
-	deadline    time.Duration // its answer comes before that or not at all
-
-	// Guarded by the pool's mutex:
-	started       bool // from here on bytes of it are written: up to then it can be withdrawn, as it has never run
-	cancelled     bool
-	conn          *conn              // that carries it, or nil
-	cancelConnect context.CancelFunc // ends its connecting
+
+	// startBy is the time before which the job has to start. Otherwise it is not executed.
+	startBy time.Duration
+
+	// deadline is the time before which the response has to arrive.
+	deadline time.Duration
+
+	// started is true once the job's query is being written. Until then the job can be withdrawn and is known not to have
+	// run. It is guarded by the pool's mutex.
+	started bool
+
+	// cancelled is guarded by the pool's mutex.
+	cancelled bool
+
+	// conn is the connection of the job, or nil. It is guarded by the pool's mutex.
+	conn *conn
+
+	// cancelConnect cancels the opening of a connection. It is guarded by the pool's mutex.
+	cancelConnect context.CancelFunc
 }
 
-// New makes a pool for at most maxConns connections. Wait must be called in the end.
+// New returns a pool of at most maxConns connections. The caller has to call Wait at the end.
 func New(ctx context.Context, clock exchange.Clock, events exchange.Events, counts *counters.Set,
-	told *deployment.Told, maxConns int) *Pool {
+	settings *deployment.Told, maxConns int) *Pool {
 	group, ctx := errgroup.WithContext(ctx)
-	return &Pool{clock: clock, events: events, counts: counts, settings: told, maxConns: maxConns, quietPeriod: quietPeriod, ctx: ctx, group: group,
+	return &Pool{clock: clock, events: events, counts: counts, settings: settings, maxConns: maxConns, quietPeriod: quietPeriod, ctx: ctx, group: group,
 		addrs: map[uint32]string{}, idle: map[uint32][]*conn{}, sends: map[*exchange.Exchange]*job{}, probes: map[uint32]*job{}}
 }
 
-// Wait closes all connections once the pool's context has ended, and returns when their goroutines have.
+// Wait waits for the end of the pool's context, closes all connections and returns when their goroutines have returned.
 func (p *Pool) Wait() error {
 	<-p.ctx.Done()
 	p.mu.Lock()
@@ -80,7 +109,7 @@
 	return p.group.Wait()
 }
 
-// Locate tells where servers are. Connections to where they were before are not used again.
+// Locate sets the addresses of servers. Idle connections to a previous address are closed.
 func (p *Pool) Locate(addrs map[uint32]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +121,7 @@
 	}
 }
 
-// Forget drops what is kept of a server.
+// Forget removes the address of a server and closes the idle connections to it.
 func (p *Pool) Forget(server uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,16 +129,16 @@
 	delete(p.addrs, server)
 }
 
-// Send starts a send, of which SendEnded tells the result. Where it has not begun by the time given, it never ran.
-func (p *Pool) Send(x *exchange.Exchange, number uint8, server uint32, by time.Duration) {
-	p.submit(&job{op: x, number: number, server: server, startBy: min(by, x.Due), deadline: x.Due})
+// Send submits a send. SendEnded reports its result. A send that has not started at the time startBy is never executed.
+func (p *Pool) Send(x *exchange.Exchange, number uint8, server uint32, startBy time.Duration) {
+	p.submit(&job{op: x, number: number, server: server, startBy: min(startBy, x.Due), deadline: x.Due})
 }
 
-// Probe starts a probe, of which ProbeEnded tells the result.
+// Probe submits a probe. ProbeEnded reports its result.
 func (p *Pool) Probe(server uint32) {
 	p.counts.Probes.Add(1)
-	due := p.clock.Now() + p.settings.ConnectTimeout
-	p.submit(&job{server: server, startBy: due, deadline: due})
+	deadline := p.clock.Now() + p.settings.ConnectTimeout
+	p.submit(&job{server: server, startBy: deadline, deadline: deadline})
 }
 
 func (p *Pool) submit(j *job) {
@@ -117,7 +146,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if j.op != nil {
-		invariant.Check(p.sends[j.op] == nil, "one send at a time is out for an op")
+		invariant.Check(p.sends[j.op] == nil, "an op has at most one open send")
 		p.sends[j.op] = j
 	} else {
 		p.probes[j.server] = j
@@ -125,26 +154,26 @@
 	p.assign(j)
 }
 
-// assign gives the job an idle connection or a new one. The mutex is held.
+// assign hands the job to an idle connection or opens a new one for it. The caller holds the mutex.
 func (p *Pool) assign(j *job) {
 	if c := p.takeIdle(j.server); c != nil {
 		p.counts.ServerReused.Add(1)
 		c.job, j.conn = j, c
-		c.net.SetReadDeadline(exchange.Past) // ends the watch of the idle connection
+		c.net.SetReadDeadline(exchange.Past) // wakes the goroutine that watches the idle connection
 		return
 	}
-	ctx, stop := context.WithDeadline(p.ctx, p.clock.Time(min(j.submittedAt+p.settings.ConnectTimeout, j.startBy)))
-	j.cancelConnect = stop
+	ctx, cancel := context.WithDeadline(p.ctx, p.clock.Time(min(j.submittedAt+p.settings.ConnectTimeout, j.startBy)))
+	j.cancelConnect = cancel
 	addr := p.addrs[j.server]
-	opens := addr != "" && (p.openConns < p.maxConns || p.evictIdle())
-	if opens {
+	canConnect := addr != "" && (p.openConns < p.maxConns || p.evictIdle())
+	if canConnect {
 		p.openConns++
 		p.counts.ServerOpen.Add(1)
 	}
-	// A goroutine even where none opens: the result must not come before this call has returned.
+	// A goroutine is used even if no connection can be opened: the result must not be reported before this call has returned.
 	p.group.Go(func() error {
-		defer stop()
-		if !opens {
+		defer cancel()
+		if !canConnect {
 			p.finish(j, exchange.Ended{Result: choice.NotSent, Position: choice.LongPast})
 			return nil
 		}
@@ -157,33 +186,34 @@
 	})
 }
 
-// takeIdle takes an idle connection to a server, if there is one: of those that have settled the one used last, else the one
-// that will be the first to settle. The mutex is held.
+// takeIdle removes and returns an idle connection to the server, or returns nil if there is none. It prefers the most
+// recently used connection whose quiet period is over, else the one whose quiet period ends first. The caller holds the
+// mutex.
 func (p *Pool) takeIdle(server uint32) *conn {
-	list := p.idle[server]
-	if len(list) == 0 {
+	idle := p.idle[server]
+	if len(idle) == 0 {
 		return nil
 	}
-	settled := p.clock.Now() - p.quietPeriod
-	i := max(0, sort.Search(len(list), func(i int) bool { return list[i].releasedAt > settled })-1)
-	c := list[i]
+	quietSince := p.clock.Now() - p.quietPeriod
+	i := max(0, sort.Search(len(idle), func(i int) bool { return idle[i].releasedAt > quietSince })-1)
+	c := idle[i]
 	p.removeIdleAt(server, i)
 	return c
 }
 
-// removeIdleAt takes a connection out of the idle ones. The mutex is held.
+// removeIdleAt removes the connection at index i from the idle list of the server. The caller holds the mutex.
 func (p *Pool) removeIdleAt(server uint32, i int) {
-	if list := slices.Delete(p.idle[server], i, i+1); len(list) > 0 {
-		p.idle[server] = list
+	if idle := slices.Delete(p.idle[server], i, i+1); len(idle) > 0 {
+		p.idle[server] = idle
 	} else {
 		delete(p.idle, server)
 	}
 }
 
-// evictIdle closes an idle connection, if there is one. The mutex is held.
+// evictIdle closes an idle connection and returns false if there is none. The caller holds the mutex.
 func (p *Pool) evictIdle() bool {
-	for server, list := range p.idle {
-		c := list[0]
+	for server, idle := range p.idle {
+		c := idle[0]
 		p.removeIdleAt(server, 0)
 		c.close()
 		return true
@@ -191,7 +221,7 @@
 	return false
 }
 
-// Cancel gives up a send. Its result follows all the same.
+// Cancel cancels a send. Its result is still reported.
 func (p *Pool) Cancel(x *exchange.Exchange, number uint8) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,8 +230,8 @@
 	}
 }
 
-// Withdraw gives up what is to go to a server and has not begun. Between the decision to send and the first byte a connection
-// may have to come up: by then the server may have been announced as leaving.
+// Withdraw cancels the jobs for a server that have not started. A connection may have to be opened between the decision
+// to send and the first byte, and in the meantime the server may have been announced as leaving.
 func (p *Pool) Withdraw(server uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,6 +245,7 @@
 	}
 }
 
+// cancel ends the I/O of the job. The caller holds the mutex.
 func (p *Pool) cancel(j *job) {
 	j.cancelled = true
 	if j.conn != nil {
@@ -224,13 +255,14 @@
 	}
 }
 
-// CloseIdle closes the connections to a server that are not in use.
+// CloseIdle closes the idle connections to a server.
 func (p *Pool) CloseIdle(server uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdle(server)
 }
 
+// closeIdle is CloseIdle for a caller that holds the mutex.
 func (p *Pool) closeIdle(server uint32) {
 	for _, c := range p.idle[server] {
 		c.close()
@@ -238,7 +270,7 @@
 	delete(p.idle, server)
 }
 
-// finish tells the one result of a job.
+// finish reports the result of a job. It is called exactly once for each job.
 func (p *Pool) finish(j *job, e exchange.Ended) {
 	e.Took = p.clock.Now() - j.submittedAt
 	p.mu.Lock()
@@ -265,4 +297,5 @@
 	p.events.ProbeEnded(j.server, e)
 }
 
+// dialer disables TCP keep-alive.
 var dialer = net.Dialer{KeepAlive: -1}
--- a/internal/serverside/receive.go
+++ b/internal/serverside/receive.go
@@ -14,7 +14,7 @@
 	"gorsewell/internal/pgwire"
 )
 
-// readMessage reads one message, which stays valid until the readMessage call.
+// readMessage reads one message, which stays valid until the next call.
 func (c *conn) readMessage() (pgwire.Message, error) {
 	for {
 		m, ok, err := c.readBuffer.NextAnswer()
@@ -32,19 +32,25 @@
 	}
 }
 
-// answer is what has been read of one.
+// answer is the part of a response that has been read.
 type answer struct {
 	exchange.Ended
-	lastType  byte // the type of the newest message of the value
-	complete  bool // one of the messages that end a query has come
-	bytesRead int  // bytes
+
+	// lastType is the type of the last message of the value, 0 before the first.
+	lastType byte
+
+	// complete is true once CommandComplete or ErrorResponse has been read.
+	complete bool
+
+	// bytesRead is the size of all messages of the response.
+	bytesRead int
 }
 
-var errReady = errors.New("ready for the next query")
+var errReady = errors.New("server is ready for the next query")
 
-// receive reads the answer to a query that was written whole, up to ReadyForQuery. Its role and position come
-// only there. The connection is whole if it got so far.
-func (c *conn) receive(j *job) (e exchange.Ended, whole bool) {
+// receive reads the response to a query that was written completely, up to ReadyForQuery. The server's role and position
+// arrive just before that. The connection is reusable if ReadyForQuery was read.
+func (c *conn) receive(j *job) (e exchange.Ended, reusable bool) {
 	a := answer{Ended: exchange.Ended{Position: choice.LongPast}}
 	var err error
 	for err == nil {
@@ -54,25 +60,25 @@
 		}
 	}
 	switch {
-	case a.complete: // the answer is known, whatever follows it or does not
+	case a.complete: // the result is known, whether or not the rest of the response arrives
 		return a.Ended, err == errReady
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		a.Result = choice.TimedOut
 	default:
 		a.Result = choice.Reset
 	}
-	return exchange.Ended{Result: a.Result, Position: choice.LongPast}, false // a spoilt answer tells nothing else
+	return exchange.Ended{Result: a.Result, Position: choice.LongPast}, false // nothing else in an incomplete response is trusted
 }
 
-// processMessage looks at one message of an answer.
+// processMessage processes one message of a response. It returns errReady at the end of the response.
 func (c *conn) processMessage(j *job, m pgwire.Message, a *answer) error {
 	if a.bytesRead += 5 + len(m.Body); a.bytesRead > 2*c.readBuffer.Longest() {
 		return c.malformed()
 	}
 	switch m.Type {
 	case pgwire.RowDescription, pgwire.DataRow, pgwire.CommandComplete:
-		value, fits := parseValueMessage(m, a.lastType)
-		if a.complete || !fits {
+		value, valid := parseValueMessage(m, a.lastType)
+		if a.complete || !valid {
 			return c.malformed()
 		}
 		if j.op != nil {
@@ -89,7 +95,7 @@
 		a.complete = true
 		a.Result = resultOfSQLState(string(code))
 	case pgwire.ParameterStatus:
-		if name, value, err := pgwire.Parameter(m.Body); err == nil { // one that cannot be read tells nothing
+		if name, value, err := pgwire.Parameter(m.Body); err == nil { // a malformed one is ignored
 			c.processParameter(string(name), string(value), a)
 		}
 	case pgwire.NoticeResponse, pgwire.NotificationResp:
@@ -104,25 +110,27 @@
 	return nil
 }
 
-// parseValueMessage tells whether the message is the next of a value, after the type that came last: one column, one row of it, the end.
-func parseValueMessage(m pgwire.Message, last byte) (value []byte, fits bool) {
+// parseValueMessage parses a message of a response that returns one value: a RowDescription of one column, one DataRow,
+// then CommandComplete. It returns the value of a DataRow, and whether the message is valid after one of type lastType.
+func parseValueMessage(m pgwire.Message, lastType byte) (value []byte, valid bool) {
 	switch m.Type {
 	case pgwire.RowDescription:
-		return nil, last == 0 && pgwire.OneColumn(m.Body)
+		return nil, lastType == 0 && pgwire.OneColumn(m.Body)
 	case pgwire.DataRow:
 		value, err := pgwire.Column(m.Body)
-		return value, last == pgwire.RowDescription && err == nil
+		return value, lastType == pgwire.RowDescription && err == nil
 	}
 	_, err := pgwire.Text(m.Body)
-	return nil, last == pgwire.DataRow && err == nil
+	return nil, lastType == pgwire.DataRow && err == nil
 }
 
+// malformed counts a malformed response and returns an error that ends it.
 func (c *conn) malformed() error {
 	c.pool.counts.MalformedAnswers.Add(1)
 	return io.ErrUnexpectedEOF
 }
 
-// resultOfSQLState tells what an SQLSTATE proves.
+// resultOfSQLState returns the result for the SQLSTATE of an ErrorResponse.
 func resultOfSQLState(code string) choice.Result {
 	switch code {
 	case "25006", "72000":
@@ -133,13 +141,14 @@
 	return choice.ServerError
 }
 
+// processParameter processes a ParameterStatus that the server appends to a response.
 func (c *conn) processParameter(name, value string, a *answer) {
 	switch name {
 	case "role":
 		a.Role = parseRole(value)
 	case "applied_ms":
-		ms, _ := strconv.ParseInt(value, 10, 64)
-		a.Position = c.validPosition(ms)
+		millis, _ := strconv.ParseInt(value, 10, 64)
+		a.Position = c.validPosition(millis)
 	case "load":
 		a.Report = c.parseReport(value)
 	}
@@ -155,17 +164,18 @@
 	return choice.RoleUnknown
 }
 
-// validPosition is a time at which a server may stand. One clock is read by all, so a time well past the present is noise.
-func (c *conn) validPosition(ms int64) time.Duration {
-	at, ok := c.pool.clock.FromUnix(ms)
-	if !ok || at > c.pool.clock.Now()+c.pool.settings.ConnectTimeout {
+// validPosition converts a server's log position from Unix milliseconds. It returns choice.LongPast for an invalid one:
+// all processes read the same clock, so a position well after the present cannot be right.
+func (c *conn) validPosition(millis int64) time.Duration {
+	position, ok := c.pool.clock.FromUnix(millis)
+	if !ok || position > c.pool.clock.Now()+c.pool.settings.ConnectTimeout {
 		return choice.LongPast
 	}
-	return at
+	return position
 }
 
-// parseReport reads the values of a load parseReport that are known here, as in x0=1767225600.123,x1=1. A parseReport of which any
-// field cannot be read is none.
+// parseReport parses the known fields of a load report such as x0=1767225600.123,x1=1. It returns nil if any field of the
+// report cannot be parsed.
 func (c *conn) parseReport(text string) *exchange.Report {
 	r := &exchange.Report{Position: choice.LongPast}
 	for field := range strings.SplitSeq(text, ",") {
@@ -176,7 +186,7 @@
 		}
 		switch name {
 		case "x0":
-			// The number may have been rounded up: a millisecond less never claims too much.
+			// The number may have been rounded up. One millisecond less never claims a later position than the true one.
 			if r.Position = c.validPosition(int64(v*1000) - 1); r.Position == choice.LongPast {
 				return nil
 			}
--- a/internal/serverside/send.go
+++ b/internal/serverside/send.go
@@ -9,13 +9,13 @@
 	"gorsewell/internal/pgwire"
 )
 
-// execute carries one job. The connection must not be used again unless it is whole.
-func (c *conn) execute(j *job) (e exchange.Ended, whole bool) {
+// execute executes one job. The connection must not be used again unless it is reusable.
+func (c *conn) execute(j *job) (e exchange.Ended, reusable bool) {
 	p := c.pool
 	if !c.startJob(j) {
 		return exchange.Ended{Result: choice.NotSent, Position: choice.LongPast}, true
 	}
-	invariant.Check(len(c.readBuffer.Bytes()) == 0, "a connection that takes a send has no bytes left over")
+	invariant.Check(len(c.readBuffer.Bytes()) == 0, "a connection that starts a job has no unread bytes")
 	c.buildQuery(j)
 	if n, err := c.net.Write(c.query); err != nil || n < len(c.query) {
 		p.counts.ServerBroken.Add(1)
@@ -24,14 +24,14 @@
 	if j.op != nil {
 		p.counts.Sent.Add(1)
 	}
-	if e, whole = c.receive(j); !whole {
+	if e, reusable = c.receive(j); !reusable {
 		p.counts.ServerBroken.Add(1)
 	}
-	return e, whole
+	return e, reusable
 }
 
-// startJob gives the connection the job's time; with it the job has begun. It is false for one that was given up, whose op has
-// ended, or that may not begin any more.
+// startJob marks the job as started and applies its deadline to the connection. It returns false if the job was
+// cancelled, its op has ended or its startBy has passed.
 func (c *conn) startJob(j *job) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -43,7 +43,7 @@
 	return true
 }
 
-// buildQuery puts together the query that one write sends.
+// buildQuery encodes the query of the job, which is sent with a single write.
 func (c *conn) buildQuery(j *job) {
 	c.query = c.query[:0]
 	switch {
@@ -56,17 +56,17 @@
 	}
 }
 
-// isStale tells whether the server has closed the connection, or sent what nobody asked for, without reading.
+// isStale reports, without reading, whether the server has closed the connection or sent unexpected bytes.
 func (c *conn) isStale() bool {
-	raw, err := c.net.(syscall.Conn).SyscallConn()
+	rawConn, err := c.net.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
 	}
-	gone := true
-	err = raw.Control(func(fd uintptr) {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		gone = err != syscall.EAGAIN
+	stale := true
+	err = rawConn.Control(func(fd uintptr) {
+		var b [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		stale = err != syscall.EAGAIN
 	})
-	return gone || err != nil
+	return stale || err != nil
 }
