--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -179,8 +179,8 @@
 	}
 }
 
-// close closes a connection that was removed from the idle list. The caller holds the mutex.
-func (c *conn) close() {
+// shutdown closes a connection that was removed from the idle list. The caller holds the mutex.
+func (c *conn) shutdown() {
 	c.closing = true
 	c.net.SetDeadline(exchange.Past)
 }
--- a/internal/serverside/pool.go
+++ b/internal/serverside/pool.go
@@ -215,7 +215,7 @@
 	for server, idle := range p.idle {
 		c := idle[0]
 		p.removeIdleAt(server, 0)
-		c.close()
+		c.shutdown()
 		return true
 	}
 	return false
@@ -265,7 +265,7 @@
 // closeIdle is CloseIdle for a caller that holds the mutex.
 func (p *Pool) closeIdle(server uint32) {
 	for _, c := range p.idle[server] {
-		c.close()
+		c.shutdown()
 	}
 	delete(p.idle, server)
 }
