--- a/internal/clientside/accept.go
+++ b/internal/clientside/accept.go
@@ -1,4 +1,5 @@
-// Package clientside takes ops from clients and answers them. Its files follow an op: accept, read, answer.
+// Package clientside accepts client connections, reads ops from them and writes the replies. Its files follow the path of
+// an op: accept, read, answer.
 package clientside
 
 import (
@@ -23,95 +24,131 @@
 	"gorsewell/internal/pgwire"
 )
 
-// What the protocol's pages fix.
+// Limits and periods, most of which follow from the documented behaviour of clients and of the platform.
 const (
-	stopAcceptPeriod = 500 * time.Millisecond  // a planned stop is followed by 0.4 s of arrivals, and a margin
-	closeGrace       = 20 * time.Millisecond   // for which a connection to be closed is still looked at
-	firstBytesWait   = 10 * time.Millisecond   // in which the first bytes of a client that has some to say are here
-	readTimeout      = 2500 * time.Millisecond // who has said nothing whole is owed an end 3 s after connecting
-	idleTimeout      = 2 * time.Second         // after which a connection that owes nothing may be closed
-	overflowConns    = 16                      // connections beyond maxConns, which leave or are told so
-	maxBacklogAge    = 50 * time.Millisecond   // for which there may be connections in the listener's queue
-	maxDrain         = 3 * time.Second         // a planned stop leaves the longest op timeout, but no more than this,
-	killGrace        = 700 * time.Millisecond  // and this before the process is killed
-	finalReplyTime   = 150 * time.Millisecond  // which is left for answers to what is given up then
+	// stopAcceptPeriod is how long connections are still accepted after the start of a planned stop: clients keep arriving
+	// for 0.4 s, and this leaves a margin.
+	stopAcceptPeriod = 500 * time.Millisecond
+
+	// closeGrace is how long a connection that is about to be closed is still checked for a command. It is also the
+	// interval between attempts to accept after a failure.
+	closeGrace = 20 * time.Millisecond
+
+	// firstBytesWait is the time in which the first bytes of a client that sends a command arrive.
+	firstBytesWait = 10 * time.Millisecond
+
+	// readTimeout is the limit for receiving a first command and for the rest of a message that has begun. A client
+	// without a complete message has to be disconnected within 3 s of connecting.
+	readTimeout = 2500 * time.Millisecond
+
+	// idleTimeout is the time without traffic after which a connection without pending replies may be evicted.
+	idleTimeout = 2 * time.Second
+
+	// overflowConns is how many connections beyond maxConns are accepted. They close by themselves, replace an evicted
+	// connection or are told that there are too many connections.
+	overflowConns = 16
+
+	// maxBacklogAge is how long there may be connections in the listener's queue before new ones are refused.
+	maxBacklogAge = 50 * time.Millisecond
+
+	// maxDrain is the upper limit of the time that a planned stop leaves for open ops. Below it the longest op timeout counts.
+	maxDrain = 3 * time.Second
+
+	// killGrace is the time after the end of that period at which the process is killed.
+	killGrace = 700 * time.Millisecond
+
+	// finalReplyTime is the part of that time that is reserved for the replies to ops that are ended then.
+	finalReplyTime = 150 * time.Millisecond
 )
 
-// Front is where clients come in.
+// Acceptor accepts client connections and serves them.
 type Front struct {
 	clock      exchange.Clock
 	dispatcher exchange.Desk
 	counts     *counters.Set
 	settings   *deployment.Told
-	opTypes    map[string]uint8
-	maxConns   int64 // connections at a time
-
-	stopping   atomic.Bool // connections are closed between ops
-	mu         sync.Mutex
-	conns      map[*conn]struct{}
-	connClosed chan struct{}       // a connection has been closed
-	openIDs    map[string]struct{} // of the ops that are open
+
+	// opTypes maps the name of each op type to its index.
+	opTypes map[string]uint8
+
+	// maxConns is the maximum number of connections that stay open. Up to overflowConns more are accepted.
+	maxConns int64
+
+	// stopping is true once connections are closed as soon as they have no open ops.
+	stopping atomic.Bool
+
+	// mu guards conns and openIDs.
+	mu    sync.Mutex
+	conns map[*conn]struct{}
+
+	// connClosed receives a value when a connection has been closed.
+	connClosed chan struct{}
+
+	// openIDs holds the ids of the open ops.
+	openIDs map[string]struct{}
 }
 
-// New makes a front for at most maxConns connections.
-func New(clock exchange.Clock, desk exchange.Desk, counts *counters.Set, told *deployment.Told, maxConns int) *Front {
-	f := &Front{clock: clock, dispatcher: desk, counts: counts, settings: told, opTypes: map[string]uint8{},
+// New returns an acceptor for at most maxConns connections.
+func New(clock exchange.Clock, dispatcher exchange.Desk, counts *counters.Set, settings *deployment.Told, maxConns int) *Front {
+	a := &Front{clock: clock, dispatcher: dispatcher, counts: counts, settings: settings, opTypes: map[string]uint8{},
 		maxConns: int64(maxConns), conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1), openIDs: map[string]struct{}{}}
-	for i, name := range told.OpTypeNames {
-		f.opTypes[name] = uint8(i)
+	for i, name := range settings.OpTypeNames {
+		a.opTypes[name] = uint8(i)
 	}
-	return f
+	return a
 }
 
-// Serve takes clients in until the context ends and some time beyond, then lets each finish what it has asked
-// for, and returns when the last one has gone. What would outlast the process is given up before it is killed.
-func (f *Front) Serve(ctx context.Context, l *net.TCPListener) error {
+// Serve accepts connections until the context ends and for stopAcceptPeriod after that. Then it closes each connection once
+// its open ops have ended, and returns when the last one is closed. Ops that would outlast the process are ended shortly
+// before the process is killed.
+func (a *Front) Serve(ctx context.Context, l *net.TCPListener) error {
 	var group errgroup.Group
 	stop := context.AfterFunc(ctx, func() {
 		slog.Info("stopping")
 		l.SetDeadline(time.Now().Add(stopAcceptPeriod))
 	})
-	err := f.accept(ctx, l, &group)
+	err := a.accept(ctx, l, &group)
 	stop()
 	l.Close()
-	f.stopping.Store(true)
-	giveUp := time.AfterFunc(f.longestOpTimeout()+killGrace-stopAcceptPeriod-finalReplyTime, f.dispatcher.Stop)
-	defer giveUp.Stop()
-	f.mu.Lock()
-	for c := range f.conns {
+	a.stopping.Store(true)
+	endOps := time.AfterFunc(a.longestOpTimeout()+killGrace-stopAcceptPeriod-finalReplyTime, a.dispatcher.Stop)
+	defer endOps.Stop()
+	a.mu.Lock()
+	for c := range a.conns {
 		c.net.SetReadDeadline(exchange.Past)
 	}
-	f.mu.Unlock()
+	a.mu.Unlock()
 	return errors.Join(err, group.Wait())
 }
 
-// longestOpTimeout is the op timeout for which a planned stop waits.
-func (f *Front) longestOpTimeout() time.Duration {
+// longestOpTimeout returns the longest op timeout, limited to maxDrain. A planned stop waits that long for open ops.
+func (a *Front) longestOpTimeout() time.Duration {
 	var longest time.Duration
-	for _, t := range f.settings.OpTypes {
+	for _, t := range a.settings.OpTypes {
 		longest = max(longest, t.Timeout)
 	}
 	return min(longest, maxDrain)
 }
 
-// accept takes connections until the listener fails, or its time is up after the context's end.
-func (f *Front) accept(ctx context.Context, l *net.TCPListener, group *errgroup.Group) error {
-	queue := &backlog{listener: l, clock: f.clock, lastEmpty: f.clock.Now()}
-	for failing, last := false, false; ; {
+// accept accepts connections until the listener is closed, or until its deadline passes after the end of the context.
+func (a *Front) accept(ctx context.Context, l *net.TCPListener, group *errgroup.Group) error {
+	queue := &backlog{listener: l, clock: a.clock, lastEmpty: a.clock.Now()}
+	for failing, lastRound := false, false; ; {
 		queue.age()
-		nc, err := l.AcceptTCP()
+		netConn, err := l.AcceptTCP()
 		switch {
 		case err != nil && errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() != nil:
-			if last {
+			if lastRound {
 				return nil
 			}
-			// Once more: who waits in the listener's queue has been accepted by the machine, and may have asked.
-			last = true
+			// One more round: the kernel has already accepted the connections in the listener's queue, and their clients may
+			// have sent a command.
+			lastRound = true
 			l.SetDeadline(time.Now().Add(closeGrace))
 			continue
 		case err != nil && errors.Is(err, net.ErrClosed):
 			return err
-		case err != nil: // out of descriptors, or a connection that broke before it was taken
+		case err != nil: // out of file descriptors, or a connection that was reset before it was accepted
 			if !failing {
 				slog.Error("accept_failed", "error", err)
 			}
@@ -120,20 +157,20 @@
 			continue
 		}
 		failing = false
-		f.counts.ClientConns.Add(1)
-		f.counts.ClientOpen.Add(1)
-		if !f.awaitAcceptCapacity(queue) { // nobody leaves
-			f.counts.ClientRefused.Add(1)
-			f.counts.ClientOpen.Add(-1)
-			nc.Close()
+		a.counts.ClientConns.Add(1)
+		a.counts.ClientOpen.Add(1)
+		if !a.awaitAcceptCapacity(queue) {
+			a.counts.ClientRefused.Add(1)
+			a.counts.ClientOpen.Add(-1)
+			netConn.Close()
 			continue
 		}
-		c := &conn{acceptor: f, net: nc, readBuffer: pgwire.Window{Most: f.settings.LongestMessage}, replies: make(chan reply, maxPendingCommands+extraReplies)}
-		c.lastActivity.Store(int64(f.clock.Now()))
-		f.mu.Lock()
-		f.conns[c] = struct{}{}
-		f.mu.Unlock()
-		f.ensureCapacity(nil)
+		c := &conn{acceptor: a, net: netConn, readBuffer: pgwire.Window{Most: a.settings.LongestMessage}, replies: make(chan reply, maxPendingCommands+extraReplies)}
+		c.lastActivity.Store(int64(a.clock.Now()))
+		a.mu.Lock()
+		a.conns[c] = struct{}{}
+		a.mu.Unlock()
+		a.ensureCapacity(nil)
 		group.Go(func() error {
 			c.run()
 			return nil
@@ -141,48 +178,51 @@
 	}
 }
 
-// awaitAcceptCapacity waits for the moment that those take which are on their way out; false where none leaves in time. While it waits
-// others wait in the listener's queue, and their time runs unseen: where some always have for long, nobody is waited for, unless
-// most places are held by clients that have said nothing, who leave within moments.
-func (f *Front) awaitAcceptCapacity(b *backlog) bool {
-	for i := 0; f.counts.ClientOpen.Load() > f.maxConns+overflowConns; i++ {
-		if i >= overflowConns || b.age() >= maxBacklogAge && !f.mostlySilent() {
+// awaitAcceptCapacity waits briefly for connections that are closing, and returns false if none closes in time. Meanwhile
+// other connections wait in the listener's queue while their clients' time runs. So if that queue has not been empty for
+// maxBacklogAge, it does not wait, unless most connections are of clients that have sent no command: those close within
+// moments.
+func (a *Front) awaitAcceptCapacity(b *backlog) bool {
+	for i := 0; a.counts.ClientOpen.Load() > a.maxConns+overflowConns; i++ {
+		if i >= overflowConns || b.age() >= maxBacklogAge && !a.mostlySilent() {
 			return false
 		}
-		f.ensureCapacity(nil)
+		a.ensureCapacity(nil)
 		select {
-		case <-f.connClosed:
+		case <-a.connClosed:
 		case <-time.After(firstBytesWait):
 		}
 	}
 	return true
 }
 
-// mostlySilent tells whether most of those who are here have said nothing of use.
-func (f *Front) mostlySilent() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// mostlySilent reports whether more than half of the open connections have sent no valid command.
+func (a *Front) mostlySilent() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	silent := 0
-	for c := range f.conns {
+	for c := range a.conns {
 		if !c.sentCommand.Load() {
 			silent++
 		}
 	}
-	return 2*silent > len(f.conns)
+	return 2*silent > len(a.conns)
 }
 
-// backlog is the listener's queue, as its acceptor sees it.
+// backlog observes the listener's queue of connections that have not been accepted.
 type backlog struct {
-	listener  *net.TCPListener
-	clock     exchange.Clock
-	lastEmpty time.Duration // when it was last seen empty
+	listener *net.TCPListener
+	clock    exchange.Clock
+
+	// lastEmpty is when the queue was last seen empty.
+	lastEmpty time.Duration
 }
 
-// age tells for how long there have been connections in the queue, at most.
+// age returns an upper limit of the time for which the queue has not been empty.
 func (b *backlog) age() time.Duration {
 	waiting, now := true, b.clock.Now()
-	if raw, err := b.listener.SyscallConn(); err == nil {
-		raw.Control(func(fd uintptr) { waiting = poll(fd, unix.POLLIN) })
+	if rawConn, err := b.listener.SyscallConn(); err == nil {
+		rawConn.Control(func(fd uintptr) { waiting = poll(fd, unix.POLLIN) })
 	}
 	if !waiting {
 		b.lastEmpty = now
@@ -190,119 +230,142 @@
 	return now - b.lastEmpty
 }
 
-// ensureCapacity tells whether no more connections than maxConns will be open once those have closed that are on their way
-// out. Else it lets those go that have been quiet for longest, of those that are owed nothing and have either been idle for
-// long enough or never said anything of use: clients that keep a connection for good, or connect and say nothing, must
-// not keep out those who ask. The one that asks for room is not among them.
-func (f *Front) ensureCapacity(forOne *conn) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	now, stay := f.clock.Now(), int64(0)
-	var quiet []*conn
-	for c := range f.conns {
+// ensureCapacity reports whether at most maxConns connections stay open once those being evicted are closed. If not, it
+// evicts the connections that have been quiet for longest, among those without pending replies that have been idle for
+// idleTimeout or have sent no command for firstBytesWait. So clients that keep an unused connection, or connect and send
+// nothing, do not keep out those that send commands. The connection requester, which may be nil, is not evicted.
+func (a *Front) ensureCapacity(requester *conn) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now, remaining := a.clock.Now(), int64(0)
+	var evictable []*conn
+	for c := range a.conns {
 		if c.evicting.Load() {
 			continue
 		}
-		stay++
+		remaining++
 		idle := now - time.Duration(c.lastActivity.Load())
-		if c != forOne && c.pendingReplies.Load() == 0 && (idle >= idleTimeout || idle >= firstBytesWait && !c.sentCommand.Load()) {
-			quiet = append(quiet, c)
+		if c != requester && c.pendingReplies.Load() == 0 && (idle >= idleTimeout || idle >= firstBytesWait && !c.sentCommand.Load()) {
+			evictable = append(evictable, c)
 		}
 	}
-	if stay <= f.maxConns {
+	if remaining <= a.maxConns {
 		return true
 	}
-	slices.SortFunc(quiet, func(a, b *conn) int { return cmp.Compare(a.lastActivity.Load(), b.lastActivity.Load()) })
-	for _, c := range quiet[:min(int64(len(quiet)), stay-f.maxConns)] {
-		stay--
-		f.counts.ClientIdleClosed.Add(1)
+	slices.SortFunc(evictable, func(x, y *conn) int { return cmp.Compare(x.lastActivity.Load(), y.lastActivity.Load()) })
+	for _, c := range evictable[:min(int64(len(evictable)), remaining-a.maxConns)] {
+		remaining--
+		a.counts.ClientIdleClosed.Add(1)
 		c.evicting.Store(true)
 		c.net.SetReadDeadline(exchange.Past)
 	}
-	return stay <= f.maxConns
+	return remaining <= a.maxConns
 }
 
-// awaitSessionCapacity waits for a moment for room: those who came just before may turn out to have nothing to say.
-func (f *Front) awaitSessionCapacity(c *conn) bool {
+// awaitSessionCapacity waits briefly until there is capacity for the connection's session: connections that were accepted
+// just before may turn out to be evictable.
+func (a *Front) awaitSessionCapacity(c *conn) bool {
 	for range 3 {
-		if f.ensureCapacity(c) {
+		if a.ensureCapacity(c) {
 			return true
 		}
 		time.Sleep(firstBytesWait)
 	}
-	return f.ensureCapacity(c)
+	return a.ensureCapacity(c)
 }
 
-// claimID takes note of an op that is open; false if another of its id is.
-func (f *Front) claimID(id string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if _, taken := f.openIDs[id]; taken {
+// claimID records the id of an open op. It returns false if another open op has this id.
+func (a *Front) claimID(id string) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if _, open := a.openIDs[id]; open {
 		return false
 	}
-	f.openIDs[id] = struct{}{}
+	a.openIDs[id] = struct{}{}
 	return true
 }
 
-// releaseID forgets an op.
-func (f *Front) releaseID(id string) {
-	f.mu.Lock()
-	delete(f.openIDs, id)
-	f.mu.Unlock()
+// releaseID removes the id of an op that has ended.
+func (a *Front) releaseID(id string) {
+	a.mu.Lock()
+	delete(a.openIDs, id)
+	a.mu.Unlock()
 }
 
-// conn is one client's connection. Its reader owns the window and the list of ops, its answerer the writes.
+// conn is one client connection. Its reader goroutine owns readBuffer, openOps and finalReadDone, its writer goroutine
+// does all writes.
 type conn struct {
-	acceptor       *Front
-	net            *net.TCPConn
-	readBuffer     pgwire.Window
-	replies        chan reply // in the order of the commands
-	openOps        []*exchange.Exchange
-	finalReadDone  bool         // for a last command, at a planned stop
-	mu             sync.Mutex   // around the reader's going to sleep and its waking
-	readPaused     bool         // the reader waits for an answer to be written
-	pendingReplies atomic.Int32 // replies queued and not written
-
-	pendingCommands atomic.Int32 // of them, those to commands
-	lastActivity    atomic.Int64 // when the last bytes came or went, a span
-	sentCommand     atomic.Bool  // a command has come that could be taken
-	evicting        atomic.Bool  // it is to make room and has not been heard of since
-	readingDone     atomic.Bool  // no command is read any more: what was taken is answered, then it is closed
+	acceptor   *Front
+	net        *net.TCPConn
+	readBuffer pgwire.Window
+
+	// replies holds the replies in the order of their commands.
+	replies chan reply
+
+	// openOps holds the ops of the connection that have not ended. Ended ones are removed when an op is added.
+	openOps []*exchange.Exchange
+
+	// finalReadDone is true once a last command has been looked for during a planned stop.
+	finalReadDone bool
+
+	// mu guards readPaused, and with it the read deadlines that pause and resume the reader.
+	mu sync.Mutex
+
+	// readPaused is true while the reader waits for a reply to be written.
+	readPaused bool
+
+	// pendingReplies is the number of replies that are queued and not written.
+	pendingReplies atomic.Int32
+
+	// pendingCommands is the number of those that answer a command.
+	pendingCommands atomic.Int32
+
+	// lastActivity is the time of the last read or reply, as a duration since the start of the clock.
+	lastActivity atomic.Int64
+
+	// sentCommand is true once the client has sent a valid command.
+	sentCommand atomic.Bool
+
+	// evicting is true if the connection was chosen to be closed and nothing has been received since.
+	evicting atomic.Bool
+
+	// readingDone is true once no further command is read. The connection closes after its pending replies.
+	readingDone atomic.Bool
 }
 
-// run serves the connection until either end closes it. What was taken is answered first, unless the client
-// has gone.
+// run serves the connection until either side closes it. Replies to commands that were read are written before that, unless
+// the client has disconnected.
 func (c *conn) run() {
-	f := c.acceptor
+	a := c.acceptor
 	var group errgroup.Group
 	group.Go(c.writeReplies)
-	why := c.read()
-	if why != errClientGone {
-		why = c.awaitReplies(why)
+	reason := c.read()
+	if reason != errClientGone {
+		reason = c.awaitReplies(reason)
 	}
-	if why == errClientGone {
+	if reason == errClientGone {
 		for _, x := range c.openOps {
-			f.dispatcher.Left(x)
+			a.dispatcher.Left(x)
 		}
 	}
 	close(c.replies)
 	group.Wait()
-	switch { // closing on unread bytes would take back what was just written
-	case why == errRejected:
+	switch { // closing a socket with unread bytes sends a reset, which could discard the last reply
+	case reason == errRejected:
 		c.net.CloseWrite()
 		c.net.SetReadDeadline(time.Now().Add(closeGrace))
 		io.Copy(io.Discard, c.net)
-	case why == errClosing && f.stopping.Load(): // a command that crosses this is not to look read
+	case reason == errClosing && a.stopping.Load(): // a command that arrives now stays unread, so that the client gets a reset
 		c.net.CloseWrite()
 		time.Sleep(closeGrace)
 	}
 	c.net.Close()
-	f.mu.Lock()
-	delete(f.conns, c)
-	f.mu.Unlock()
-	f.counts.ClientOpen.Add(-1)
+	a.mu.Lock()
+	delete(a.conns, c)
+	a.mu.Unlock()
+	a.counts.ClientOpen.Add(-1)
 	select {
-	case f.connClosed <- struct{}{}:
+	case a.connClosed <- struct{}{}:
 	default:
 	}
 }
--- a/internal/clientside/answer.go
+++ b/internal/clientside/answer.go
@@ -10,17 +10,21 @@
 	"gorsewell/internal/pgwire"
 )
 
-// reply is what one command is answered with: bytes, or how an op ends. What is said beside commands is one too.
+// reply is queued bytes or the pending result of an op. Most replies answer a command.
 type reply struct {
-	bytes          []byte
-	op             *exchange.Exchange
-	opID           string // by which the client knows the op
+	bytes []byte
+	op    *exchange.Exchange
+
+	// opID is the client's id for the op.
+	opID string
+
 	answersCommand bool
 }
 
+// enqueueBytes queues bytes that do not answer a command.
 func (c *conn) enqueueBytes(bytes []byte) { c.enqueue(reply{bytes: bytes}) }
 
-// enqueueCommandReply is say for a command.
+// enqueueCommandReply queues bytes that answer a command.
 func (c *conn) enqueueCommandReply(bytes []byte) {
 	c.enqueue(reply{bytes: bytes, answersCommand: true})
 }
@@ -33,7 +37,7 @@
 	c.replies <- r
 }
 
-// writeReplies writes the replies in order, each with one write. After a write that fails the rest is dropped.
+// writeReplies writes the replies in order, each with a single write. After a failed write it drops the rest.
 func (c *conn) writeReplies() error {
 	var failed error
 	for r := range c.replies {
@@ -42,15 +46,15 @@
 			c.acceptor.releaseID(r.opID)
 			r.bytes = finalReply(r.op)
 		}
-		// A client gets as long to take an answer as a server to take a connection, or all that is left of its time.
-		until := c.acceptor.clock.Now() + c.acceptor.settings.ConnectTimeout
+		// A client gets as long to read a reply as a server gets to accept a connection, or longer until its op is due.
+		deadline := c.acceptor.clock.Now() + c.acceptor.settings.ConnectTimeout
 		if r.op != nil {
-			until = max(until, r.op.Due)
+			deadline = max(deadline, r.op.Due)
 		}
 		if failed == nil && len(r.bytes) > 0 {
-			c.net.SetWriteDeadline(c.acceptor.clock.Time(until))
+			c.net.SetWriteDeadline(c.acceptor.clock.Time(deadline))
 			if _, failed = c.net.Write(r.bytes); failed != nil {
-				c.net.Close() // a value that is not whole must not look whole
+				c.net.Close() // so that the client cannot take a partly written value for a complete one
 			}
 		}
 		c.lastActivity.Store(int64(c.acceptor.clock.Now()))
@@ -58,26 +62,26 @@
 			c.pendingCommands.Add(-1)
 			c.resumeReading()
 		}
-		owed := c.pendingReplies.Add(-1)
-		invariant.Check(owed >= 0, "no more replies are written than are owed")
-		if owed == 0 && (c.readingDone.Load() || c.acceptor.stopping.Load()) {
+		pending := c.pendingReplies.Add(-1)
+		invariant.Check(pending >= 0, "no more replies are written than were queued")
+		if pending == 0 && (c.readingDone.Load() || c.acceptor.stopping.Load()) {
 			c.net.SetReadDeadline(exchange.Past)
 		}
 	}
 	return errors.Join(failed, c.net.SetWriteDeadline(time.Time{}))
 }
 
-// finalReply is the answer to an op that has ended; none where its client has left.
+// finalReply returns the reply to an op that has ended, or nil if its client has disconnected.
 func finalReply(x *exchange.Exchange) []byte {
 	switch x.Outcome {
 	case exchange.Acked:
 		return pgwire.AppendReady(x.Answer)
 	case exchange.BusyReplied:
-		hint := ""
+		retryAfter := ""
 		if x.ComeBackIn > 0 {
-			hint = strconv.FormatInt(x.ComeBackIn.Milliseconds(), 10)
+			retryAfter = strconv.FormatInt(x.ComeBackIn.Milliseconds(), 10)
 		}
-		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "53300", "busy, try again", hint))
+		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "53300", "busy, try again", retryAfter))
 	case exchange.Errored:
 		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "08007", "gave up, its effect is unknown", ""))
 	}
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -14,20 +14,22 @@
 	"gorsewell/internal/pgwire"
 )
 
-// maxPendingCommands is how many commands of one client may wait for their answers; no more are read until one is answered.
+// maxPendingCommands is how many commands of one client may wait for their replies. Beyond that, reading pauses until one
+// reply is written.
 const maxPendingCommands = 16
 
-// extraReplies is how many replies there may be that answer no command: encryption declined three times, a welcome, a protest.
+// extraReplies is the maximum number of replies that answer no command: three refused encryption requests, one startup
+// reply and one fatal error.
 const extraReplies = 5
 
-// Why a connection is read no longer.
+// The reasons to stop reading from a connection.
 var (
-	errClientGone = errors.New("the client has gone")
-	errRejected   = errors.New("the client is told that nothing more is taken, and why")
-	errClosing    = errors.New("the connection is to be closed")
+	errClientGone = errors.New("client disconnected")
+	errRejected   = errors.New("request rejected, connection is to be closed")
+	errClosing    = errors.New("connection is to be closed")
 )
 
-// read takes what the client sends until it goes, or is to go.
+// read reads from the client until it disconnects or the connection has to be closed.
 func (c *conn) read() error {
 	c.setReadDeadline(time.Now().Add(readTimeout))
 	if err := c.startup(); err != nil {
@@ -43,7 +45,7 @@
 			return c.reject(err)
 		case m.Type == pgwire.Terminate:
 			return errClientGone
-		case m.Type != pgwire.Query: // no other command is spoken here
+		case m.Type != pgwire.Query: // no other command is supported
 			return c.reject(pgwire.ErrMalformed)
 		}
 		if err := c.handleQuery(m.Body); err != nil {
@@ -52,7 +54,7 @@
 	}
 }
 
-// reject answers bytes that cannot be read with a fatal error; any other reason to end passes through.
+// reject sends a fatal error for invalid input and returns errRejected. It returns any other error unchanged.
 func (c *conn) reject(err error) error {
 	code := "08P01"
 	switch err {
@@ -68,17 +70,17 @@
 	return errRejected
 }
 
-// awaitQueueSpace holds back a client that has as many commands waiting as there may be: nothing is read until one is answered, and its
-// leaving is seen meanwhile. Commands that have been read already are taken afterwards, also at a planned stop.
+// awaitQueueSpace pauses reading while maxPendingCommands commands wait for their replies. Meanwhile it notices if the
+// client disconnects. Commands that are already in the read buffer are processed afterwards, even during a planned stop.
 func (c *conn) awaitQueueSpace() error {
 	for c.pendingCommands.Load() >= maxPendingCommands {
 		c.mu.Lock()
-		c.readPaused = c.pendingCommands.Load() >= maxPendingCommands // else its answerer has passed by and wakes nobody
+		c.readPaused = c.pendingCommands.Load() >= maxPendingCommands // otherwise the writer has already passed and wakes nobody
 		c.net.SetReadDeadline(time.Time{})
 		c.mu.Unlock()
 		gone := c.readPaused && c.awaitClientClose()
 		c.mu.Lock()
-		c.readPaused = false // from here on no late wake ends another wait
+		c.readPaused = false // from here on a late wake-up cannot end another wait
 		c.setReadDeadline(time.Time{})
 		c.mu.Unlock()
 		if gone {
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// resumeReading wakes a reader that pauses.
+// resumeReading wakes a paused reader.
 func (c *conn) resumeReading() {
 	c.mu.Lock()
 	if c.readPaused {
@@ -97,26 +99,26 @@
 	c.mu.Unlock()
 }
 
-// startup reads the packet with which a session begins and lets the client in.
+// startup reads startup packets until a session starts, and sends the replies.
 func (c *conn) startup() error {
-	for declined := 0; ; {
-		o, n, err := pgwire.Startup(c.readBuffer.Bytes())
-		if declined > 2 { // a client asks for either kind of encryption once
+	for refused := 0; ; {
+		kind, size, err := pgwire.Startup(c.readBuffer.Bytes())
+		if refused > 2 { // a client asks once for each kind of encryption
 			err = pgwire.ErrMalformed
 		}
 		if err != nil {
 			return c.reject(err)
 		}
-		c.readBuffer.Take(n)
+		c.readBuffer.Take(size)
 		switch {
-		case n == 0:
+		case size == 0:
 			if err := c.fill(); err != nil {
 				return err
 			}
-		case o == pgwire.OpensEncryption:
-			declined++
-			c.enqueueBytes([]byte{'N'}) // there is none: the client goes on in the clear
-		case o == pgwire.OpensCancel:
+		case kind == pgwire.OpensEncryption:
+			refused++
+			c.enqueueBytes([]byte{'N'}) // encryption is not supported: the client continues without it
+		case kind == pgwire.OpensCancel:
 			return errRejected
 		case !c.acceptor.awaitSessionCapacity(c):
 			c.acceptor.counts.ClientRefused.Add(1)
@@ -129,7 +131,7 @@
 	}
 }
 
-// readMessage reads one message, which stays valid until the readMessage call.
+// readMessage reads one message, which stays valid until the next call.
 func (c *conn) readMessage() (pgwire.Message, error) {
 	for limited := !c.sentCommand.Load(); ; {
 		m, ok, err := c.readBuffer.Next()
@@ -139,7 +141,7 @@
 		if ok || err != nil {
 			return m, err
 		}
-		if !limited && len(c.readBuffer.Bytes()) > 0 { // a message that has begun is to end
+		if !limited && len(c.readBuffer.Bytes()) > 0 { // the rest of an incomplete message has to arrive in time
 			limited = true
 			c.setReadDeadline(time.Now().Add(readTimeout))
 		}
@@ -149,15 +151,16 @@
 	}
 }
 
-// fill reads more bytes. A read that ends in time is a sign that the connection is to be closed, as all are, or as it has
-// been quiet for too long: then it gives up where the client is owed nothing and no command of it is on its way.
+// fill reads more bytes. A read that times out is a sign that the connection has to be closed, during a planned stop, by
+// eviction or because of the read timeout. Then fill returns errClosing if no reply is pending and no command arrives within
+// a short grace period. If replies are pending it returns errClosing at once during a planned stop, else it goes on reading.
 //
-// At a planned stop it looks once for a command on its way and reads nothing more after that, however busy the connection
-// is: a client that asks again within moments of each answer would else be served on it until the process is killed, and
-// lose what is under way then. What stays unread in the socket makes the end a reset, by which its client knows that it was
-// not taken.
+// During a planned stop it looks for such a command only once and reads nothing more after that, however busy the connection
+// is. Otherwise a client that sends its next command right after each reply would be served on the connection until the
+// process is killed, and its open ops would be lost. Bytes that stay unread in the socket turn the close into a reset, which
+// tells the client that the command was not processed.
 func (c *conn) fill() error {
-	for last := false; ; {
+	for graceUsed := false; ; {
 		n, err := c.net.Read(c.readBuffer.Room())
 		c.readBuffer.Filled(n)
 		switch {
@@ -170,35 +173,37 @@
 		case c.pendingReplies.Load() > 0 && c.acceptor.stopping.Load():
 			return errClosing
 		case c.pendingReplies.Load() > 0:
-			last = false
+			graceUsed = false
 			c.evicting.Store(false)
 			c.setReadDeadline(time.Time{})
-		case last || c.finalReadDone:
+		case graceUsed || c.finalReadDone:
 			return errClosing
 		default:
-			last, c.finalReadDone = true, c.acceptor.stopping.Load()
-			look := closeGrace
+			graceUsed, c.finalReadDone = true, c.acceptor.stopping.Load()
+			grace := closeGrace
 			if c.evicting.Load() && !c.sentCommand.Load() {
-				look = time.Millisecond // what it had to say would be here: newcomers do not leave
+				grace = time.Millisecond // a connection is evicted after firstBytesWait: a command would have arrived by now
 			}
-			c.net.SetReadDeadline(time.Now().Add(look))
+			c.net.SetReadDeadline(time.Now().Add(grace))
 		}
 	}
 }
 
-// maxFastDiscard is how much of what follows a protest is thrown away as fast as it comes; of a flood, the rest is slowed down.
+// maxFastDiscard is how many bytes after rejected input are discarded as fast as they arrive. Beyond that, discarding is
+// slowed down.
 const maxFastDiscard = 1 << 20
 
-// awaitReplies waits until all that was taken is answered, and tells whether the client leaves before: then what is under way for it
-// must not be sent on. What follows a protest is thrown away, so that its end shows. What comes once a planned stop has looked
-// its last stays unread, by which its client can tell that it was not taken, and the kernel is asked for the end behind it.
-func (c *conn) awaitReplies(why error) error {
-	c.readingDone.Store(true) // from here on the answerer ends the wait after the last answer
-	for left := maxFastDiscard; ; {
+// awaitReplies waits until all pending replies are written and then returns the reason. It returns errClientGone if the
+// client disconnects earlier: its open ops must then not be sent to a server again. Input after rejected input is discarded,
+// so that the end of the stream becomes visible. Input after the last read of a planned stop stays unread, which tells the
+// client that it was not processed, and the kernel is asked whether the client has closed the connection.
+func (c *conn) awaitReplies(reason error) error {
+	c.readingDone.Store(true) // from here on the writer ends the wait after the last reply
+	for fastLeft := maxFastDiscard; ; {
 		if c.net.SetReadDeadline(time.Time{}); c.pendingReplies.Load() == 0 {
-			return why
+			return reason
 		}
-		if why == errClosing {
+		if reason == errClosing {
 			if c.awaitClientClose() {
 				return errClientGone
 			}
@@ -208,55 +213,57 @@
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return errClientGone
 		}
-		if left -= n; left < 0 {
+		if fastLeft -= n; fastLeft < 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// awaitClientClose waits, reading nothing, until the client has closed its end, or the read deadline has passed: false.
+// awaitClientClose waits, without reading, until the client closes its end and returns true. It returns false when the read
+// deadline passes.
 func (c *conn) awaitClientClose() (gone bool) {
-	raw, err := c.net.SyscallConn()
+	rawConn, err := c.net.SyscallConn()
 	if err != nil {
 		return true
 	}
-	err = raw.Read(func(fd uintptr) bool {
+	err = rawConn.Read(func(fd uintptr) bool {
 		gone = peerClosed(fd)
 		return gone
 	})
 	return gone || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// clientClosed tells whether the client has closed its end, whatever lies unread before that.
+// clientClosed reports whether the client has closed its end, even if there are unread bytes before that.
 func (c *conn) clientClosed() (gone bool) {
-	raw, err := c.net.SyscallConn()
+	rawConn, err := c.net.SyscallConn()
 	if err != nil {
 		return true
 	}
-	err = raw.Control(func(fd uintptr) { gone = peerClosed(fd) })
+	err = rawConn.Control(func(fd uintptr) { gone = peerClosed(fd) })
 	return gone || err != nil
 }
 
-// peerClosed asks the kernel whether the other end of a socket is peerClosed, or half peerClosed, which counts as leaving too.
+// peerClosed asks the kernel whether the peer of a socket has closed it or shut down its writing side.
 func peerClosed(fd uintptr) bool { return poll(fd, unix.POLLRDHUP) }
 
-// poll asks the kernel whether something has happened at a socket, without waiting.
-func poll(fd uintptr, what int16) bool {
-	look := []unix.PollFd{{Fd: int32(fd), Events: what}}
-	n, err := unix.Poll(look, 0)
+// poll asks the kernel, without waiting, whether any of the events has occurred on a socket.
+func poll(fd uintptr, events int16) bool {
+	fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
+	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
 }
 
-// setReadDeadline lets reads setReadDeadline until then, and not at all once the connection, or all of them, are to be closed. Who wants that says so
-// first and ends the setReadDeadline then: whichever of the two comes last, the read ends.
-func (c *conn) setReadDeadline(until time.Time) {
-	c.net.SetReadDeadline(until)
+// setReadDeadline sets the deadline of reads, or ends them at once if the connection is being evicted or the acceptor is
+// stopping. Evicting and stopping set their flag first and the deadline second, so whichever of the two calls is last ends
+// the read.
+func (c *conn) setReadDeadline(deadline time.Time) {
+	c.net.SetReadDeadline(deadline)
 	if c.acceptor.stopping.Load() || c.evicting.Load() {
 		c.net.SetReadDeadline(exchange.Past)
 	}
 }
 
-// handleQuery takes one command.
+// handleQuery processes one command.
 func (c *conn) handleQuery(body []byte) error {
 	text, err := pgwire.Text(body)
 	if err != nil {
@@ -267,8 +274,8 @@
 		c.enqueueCommandReply(pgwire.AppendReady(pgwire.AppendMessage(nil, pgwire.EmptyQuery)))
 		return nil
 	}
-	s, err := pgwire.Describe(bytes.Clone(text)) // it outlives the buffer: it may be sent again
-	kind, known := c.acceptor.opTypes[string(s.OpType)]
+	s, err := pgwire.Describe(bytes.Clone(text)) // outlives the read buffer, as the op may be sent to a server again
+	opType, known := c.acceptor.opTypes[string(s.OpType)]
 	switch {
 	case err != nil:
 		return c.rejectQuery("42601", "no usable comment")
@@ -277,17 +284,18 @@
 	case !c.acceptor.claimID(string(s.ID)):
 		return c.rejectQuery("42710", "an op of this id is open")
 	}
-	// A command may have waited for long, in the listener's queue or while the process stood still, and its client have left.
+	// A command may have waited for long, in the listener's queue or while the process was suspended, and its client may have
+	// disconnected in the meantime.
 	if c.clientClosed() {
 		c.acceptor.releaseID(string(s.ID))
 		return errClientGone
 	}
 	c.sentCommand.Store(true)
 	now := c.acceptor.clock.Now()
-	x := &exchange.Exchange{Statement: s, OpType: kind, Group: s.Group, Session: sessionHash(s.Key), Again: s.Again,
-		Due: now + min(s.Remaining, c.acceptor.settings.OpTypes[kind].Timeout), Target: c.acceptor.settings.OpTypes[kind].Target, After: choice.LongPast, Done: make(chan struct{})}
-	if at, ok := c.acceptor.clock.FromUnix(s.After); ok {
-		x.After = at
+	x := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), Again: s.Again,
+		Due: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout), Target: c.acceptor.settings.OpTypes[opType].Target, After: choice.LongPast, Done: make(chan struct{})}
+	if position, ok := c.acceptor.clock.FromUnix(s.After); ok {
+		x.After = position
 	}
 	c.openOps = append(slices.DeleteFunc(c.openOps, (*exchange.Exchange).Over), x)
 	c.acceptor.dispatcher.Take(x)
@@ -295,18 +303,18 @@
 	return nil
 }
 
-// rejectQuery answers a command that can be read but is no op.
-func (c *conn) rejectQuery(code, what string) error {
+// rejectQuery replies to a well-formed command that is not a valid op. The connection stays open.
+func (c *conn) rejectQuery(code, message string) error {
 	c.acceptor.counts.Unusable.Add(1)
-	c.enqueueCommandReply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, what, "")))
+	c.enqueueCommandReply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, message, "")))
 	return nil
 }
 
-// sessionHash is the number of the sessionHash that a key names.
+// sessionHash returns the number of the session that a key belongs to, the 64-bit FNV-1a hash of the key.
 func sessionHash(key []byte) uint64 {
-	h := uint64(14695981039346656037)
+	hash := uint64(14695981039346656037)
 	for _, b := range key {
-		h = (h ^ uint64(b)) * 1099511628211
+		hash = (hash ^ uint64(b)) * 1099511628211
 	}
-	return h
+	return hash
 }
