--- a/internal/clientside/accept.go
+++ b/internal/clientside/accept.go
@@ -1,5 +1,5 @@
-// Package clientside accepts client connections, reads ops from them and writes the replies. Its files follow the path of
-// an op: accept, read, answer.
+// Package clientside accepts client connections, reads ops from them and writes the replies. Its files follow the path
+// of an op: accept, read, answer.
 package clientside
 
 import (
@@ -26,8 +26,8 @@
 
 // Limits and periods, most of which follow from the documented behaviour of clients and of the platform.
 const (
-	// stopAcceptPeriod is how long connections are still accepted after the start of a planned stop: clients keep arriving
-	// for 0.4 s, and this leaves a margin.
+	// stopAcceptPeriod is how long connections are still accepted after the start of a planned stop: clients keep
+	// arriving for 0.4 s, and this leaves a margin.
 	stopAcceptPeriod = 500 * time.Millisecond
 
 	// closeGrace is how long a connection that is about to be closed is still checked for a command. It is also the
@@ -51,7 +51,8 @@
 	// maxBacklogAge is how long there may be connections in the listener's queue before new ones are refused.
 	maxBacklogAge = 50 * time.Millisecond
 
-	// maxDrain is the upper limit of the time that a planned stop leaves for open ops. Below it the longest op timeout counts.
+	// maxDrain is the upper limit of the time that a planned stop leaves for open ops. Below it the longest op timeout
+	// counts.
 	maxDrain = 3 * time.Second
 
 	// killGrace is the time after the end of that period at which the process is killed.
@@ -98,9 +99,9 @@
 	return a
 }
 
-// Serve accepts connections until the context ends and for stopAcceptPeriod after that. Then it closes each connection once
-// its open ops have ended, and returns when the last one is closed. Ops that would outlast the process are ended shortly
-// before the process is killed.
+// Serve accepts connections until the context ends and for stopAcceptPeriod after that. Then it closes each connection
+// once its open ops have ended, and returns when the last one is closed. Ops that would outlast the process are ended
+// shortly before the process is killed.
 func (a *Front) Serve(ctx context.Context, l *net.TCPListener) error {
 	var group errgroup.Group
 	stop := context.AfterFunc(ctx, func() {
@@ -141,8 +142,8 @@
 			if lastRound {
 				return nil
 			}
-			// One more round: the kernel has already accepted the connections in the listener's queue, and their clients may
-			// have sent a command.
+			// One more round: the kernel has already accepted the connections in the listener's queue, and their
+			// clients may have sent a command.
 			lastRound = true
 			l.SetDeadline(time.Now().Add(closeGrace))
 			continue
@@ -178,10 +179,10 @@
 	}
 }
 
-// awaitAcceptCapacity waits briefly for connections that are closing, and returns false if none closes in time. Meanwhile
-// other connections wait in the listener's queue while their clients' time runs. So if that queue has not been empty for
-// maxBacklogAge, it does not wait, unless most connections are of clients that have sent no command: those close within
-// moments.
+// awaitAcceptCapacity waits briefly for connections that are closing, and returns false if none closes in time.
+// Meanwhile other connections wait in the listener's queue while their clients' time runs. So if that queue has not
+// been empty for maxBacklogAge, it does not wait, unless most connections are of clients that have sent no command:
+// those close within moments.
 func (a *Front) awaitAcceptCapacity(b *backlog) bool {
 	for i := 0; a.counts.ClientOpen.Load() > a.maxConns+overflowConns; i++ {
 		if i >= overflowConns || b.age() >= maxBacklogAge && !a.mostlySilent() {
@@ -262,8 +263,8 @@
 	return remaining <= a.maxConns
 }
 
-// awaitSessionCapacity waits briefly until there is capacity for the connection's session: connections that were accepted
-// just before may turn out to be evictable.
+// awaitSessionCapacity waits briefly until there is capacity for the connection's session: connections that were
+// accepted just before may turn out to be evictable.
 func (a *Front) awaitSessionCapacity(c *conn) bool {
 	for range 3 {
 		if a.ensureCapacity(c) {
@@ -333,8 +334,8 @@
 	readingDone atomic.Bool
 }
 
-// run serves the connection until either side closes it. Replies to commands that were read are written before that, unless
-// the client has disconnected.
+// run serves the connection until either side closes it. Replies to commands that were read are written before that,
+// unless the client has disconnected.
 func (c *conn) run() {
 	a := c.acceptor
 	var group errgroup.Group
--- a/internal/clientside/clientside_test.go
+++ b/internal/clientside/clientside_test.go
@@ -176,11 +176,11 @@
 	})
 	c := dial(t, addr)
 	if got, err := c.Query(lookupQuery); err != nil || got != "C53300D250" {
-		t.Errorf("busy reply: got %q, %v", got, err)
+		t.Errorf("busy reply: got %q, %v, want C53300D250", got, err)
 	}
 	outcome = exchange.Errored
 	if got, err := c.Query(lookupQuery); err != nil || got != "C08007" {
-		t.Errorf("error: got %q, %v", got, err)
+		t.Errorf("error: got %q, %v, want C08007", got, err)
 	}
 }
 
@@ -194,10 +194,10 @@
 	})
 	c := dial(t, addr)
 	if got, err := c.Query(strings.Replace(lookupQuery, "d=400", "d=40", 1)); err != nil || got != "C08007" {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("got %q, %v, want C08007", got, err)
 	}
 	if got, err := c.Query(";"); err != nil || got != "I" {
-		t.Errorf("next query: got %q, %v", got, err)
+		t.Errorf("next query: got %q, %v, want I", got, err)
 	}
 }
 
@@ -221,7 +221,8 @@
 	}
 }
 
-// A disconnect is detected at once, whatever the client sent before: its waiting ops must not be sent to a server any more.
+// A disconnect is detected at once, whatever the client sent before: its waiting ops must not be sent to a server any
+// more.
 func TestClientDisconnectIsDetectedBehindUnreadInput(t *testing.T) {
 	t.Parallel()
 	rejected := func(a *Front) bool { return a.counts.Malformed.Load() == 1 }
@@ -260,7 +261,7 @@
 				}
 			}
 			if len(d.taken) != c.want {
-				t.Errorf("got another number of ops taken: %d", len(d.taken))
+				t.Errorf("got %d ops taken, want as many as in the case", len(d.taken))
 			}
 		})
 	}
@@ -300,12 +301,12 @@
 		t.Errorf("got %d ops taken and %d open ids, want none", n, len(a.openIDs))
 	}
 	if got, err := dial(t, addr).Query(lookupQuery); err != nil || got != "v1" {
-		t.Errorf("connected client: got %q, %v", got, err)
+		t.Errorf("connected client: got %q, %v, want v1", got, err)
 	}
 }
 
-// stoppingClient returns a client with an open op on an acceptor that is stopping. The client has sent another command after
-// the acceptor's last read from it.
+// stoppingClient returns a client with an open op on an acceptor that is stopping. The client has sent another command
+// after the acceptor's last read from it.
 func stoppingClient(t *testing.T) (d *fakeDispatcher, c *standin.Client, stopped chan struct{}) {
 	t.Helper()
 	a, d, addr, stop := startAcceptor(t, 8, func(*exchange.Exchange) {})
@@ -342,12 +343,12 @@
 	}
 	<-stopped
 	if n := takenCount(d); n != 1 {
-		t.Errorf("got %d ops taken", n)
+		t.Errorf("got %d ops taken, want 1", n)
 	}
 }
 
-// A command that arrives after the last read of a planned stop stays unread. The reset after the replies tells the client that
-// it was not taken, and the client sends it to another gateway.
+// A command that arrives after the last read of a planned stop stays unread. The reset after the replies tells the
+// client that it was not taken, and the client sends it to another gateway.
 func TestCommandAfterLastReadOfStopStaysUnread(t *testing.T) {
 	t.Parallel()
 	d, c, stopped := stoppingClient(t)
@@ -368,7 +369,7 @@
 		return reset
 	})
 	if n := takenCount(d); n != 1 {
-		t.Errorf("got %d ops taken", n)
+		t.Errorf("got %d ops taken, want 1", n)
 	}
 }
 
@@ -378,8 +379,8 @@
 	return len(d.taken)
 }
 
-// A connection may be in the listener's queue when the acceptor stops accepting. The kernel has already accepted it, so its
-// client relies on its command being processed.
+// A connection may be in the listener's queue when the acceptor stops accepting. The kernel has already accepted it, so
+// its client relies on its command being processed.
 func TestStopAcceptsConnectionsInListenerQueue(t *testing.T) {
 	t.Parallel()
 	a, d, _, _ := startAcceptor(t, 8, ack)
@@ -406,7 +407,7 @@
 	c.Close()
 	group.Wait()
 	if n := takenCount(d); n != 1 {
-		t.Errorf("got %d ops taken", n)
+		t.Errorf("got %d ops taken, want 1", n)
 	}
 }
 
@@ -458,13 +459,13 @@
 			t.Errorf("%s: got no invalid input counted", c.name)
 		}
 		if got, err := other.Query(lookupQuery); err != nil || got != "v1" {
-			t.Errorf("%s: other connection: got %q, %v", c.name, got, err)
+			t.Errorf("%s: other connection: got %q, %v, want v1", c.name, got, err)
 		}
 	}
 }
 
-// A client without a complete message is disconnected within 3 s of connecting. A client that has sent a command keeps its
-// connection until it leaves a later message incomplete.
+// A client without a complete message is disconnected within 3 s of connecting. A client that has sent a command keeps
+// its connection until it leaves a later message incomplete.
 func TestClientsWithoutCompleteMessageAreDisconnected(t *testing.T) {
 	t.Parallel()
 	_, _, addr, _ := startAcceptor(t, 8, ack)
@@ -495,7 +496,7 @@
 		c.Query(lookupQuery)
 		time.Sleep(readTimeout + 100*time.Millisecond)
 		if got, err := c.Query(lookupQuery); err != nil || got != "v1" {
-			t.Errorf("an idle client: got %q, %v", got, err)
+			t.Errorf("an idle client: got %q, %v, want v1", got, err)
 		}
 		c.Say(pgwire.AppendQuery(nil, lookupQuery)[:30])
 		c.SetDeadline(time.Now().Add(2900 * time.Millisecond))
@@ -532,7 +533,7 @@
 	}
 	expect(t, busy, "v1")
 	if got, err := recent.Query(strings.Replace(lookupQuery, "id=1", "id=5", 1)); err != nil || got != "v5" {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("got %q, %v, want v5", got, err)
 	}
 }
 
@@ -550,17 +551,17 @@
 		}
 		start := time.Now()
 		if got, err := dial(t, addr).Query(lookupQuery); err != nil || got != "v1" || time.Since(start) > time.Second {
-			t.Errorf("got %q, %v after %v", got, err, time.Since(start))
+			t.Errorf("got %q, %v after %v, want v1 within 1s", got, err, time.Since(start))
 		}
 	}
 	if a.counts.ClientRefused.Load() != 0 || a.counts.ClientIdleClosed.Load() < 300 {
-		t.Errorf("got counters %s", a.counts)
+		t.Errorf("got counters %s, want none refused and at least 300 evicted", a.counts)
 	}
 }
 
-// Under a flood of connections on one core, connections were marked for eviction just when their reader set its next read
-// deadline after a command. They stayed open, counted as being evicted, and once maxConns of them existed no other connection
-// was admitted.
+// Under a flood of connections on one core, connections were marked for eviction just when their reader set its next
+// read deadline after a command. They stayed open, counted as being evicted, and once maxConns of them existed no other
+// connection was admitted.
 func TestEvictionEndsReadThatStartsConcurrently(t *testing.T) {
 	t.Parallel()
 	a, _, addr, _ := startAcceptor(t, 1, ack)
@@ -577,8 +578,8 @@
 	expect(t, c, "$")
 }
 
-// A command that arrives just when its connection is chosen for eviction, with no reply pending yet, is answered, and the
-// connection stays open.
+// A command that arrives just when its connection is chosen for eviction, with no reply pending yet, is answered, and
+// the connection stays open.
 func TestCommandDuringEvictionIsAnswered(t *testing.T) {
 	t.Parallel()
 	held := make(chan *exchange.Exchange, 1)
@@ -613,20 +614,20 @@
 	first.Say(pgwire.AppendQuery(nil, lookupQuery))
 	time.Sleep(50 * time.Millisecond)
 	if got, err := second.Query(lookupQuery); err != nil || got != "C42710" {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("got %q, %v, want C42710", got, err)
 	}
 	close(end)
 	expect(t, first, "v1")
 	if got, err := second.Query(lookupQuery); err != nil || got != "v1" {
-		t.Errorf("after the end of the first op: got %q, %v", got, err)
+		t.Errorf("after the end of the first op: got %q, %v, want v1", got, err)
 	}
 	if len(a.openIDs) != 0 {
 		t.Errorf("got %d open ids, want none", len(a.openIDs))
 	}
 }
 
-// Reading pauses for a client that sends more commands at once than may be pending. Each is answered, in order, and the number
-// of open ops stays limited.
+// Reading pauses for a client that sends more commands at once than may be pending. Each is answered, in order, and the
+// number of open ops stays limited.
 func TestPipelinedCommandsAreAllAnswered(t *testing.T) {
 	t.Parallel()
 	var open, maxOpen atomic.Int32
@@ -644,12 +645,12 @@
 		expect(t, c, fmt.Sprintf("v%d", n))
 	}
 	if len(d.taken) != 300 || maxOpen.Load() > maxPendingCommands+1 { // an op that has ended may still be counted when its reply is written
-		t.Errorf("got %d ops taken, up to %d at once", len(d.taken), maxOpen.Load())
+		t.Errorf("got %d ops taken, up to %d at once, want 300 and up to maxPendingCommands+1", len(d.taken), maxOpen.Load())
 	}
 }
 
-// Commands that were read from a client whose reading is paused are processed even if a planned stop begins in the meantime:
-// the client cannot tell that it should send them to another gateway.
+// Commands that were read from a client whose reading is paused are processed even if a planned stop begins in the
+// meantime: the client cannot tell that it should send them to another gateway.
 func TestStopProcessesCommandsOfPausedClient(t *testing.T) {
 	t.Parallel()
 	a, d, addr, stop := startAcceptor(t, 8, func(*exchange.Exchange) {})
@@ -751,7 +752,7 @@
 	second.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
 	expect(t, second, "C53300$")
 	if got, err := first.Query(lookupQuery); err != nil || got != "v1" || a.counts.ClientRefused.Load() != 1 {
-		t.Errorf("got %q, %v and %d refused connections", got, err, a.counts.ClientRefused.Load())
+		t.Errorf("got %q, %v and %d refused connections, want v1 and 1", got, err, a.counts.ClientRefused.Load())
 	}
 }
 
@@ -768,7 +769,7 @@
 		stuck.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1,c=lookup,d=400", fmt.Sprintf("id=%d,c=lookup,d=1", n), 1)))
 	}
 	if got, err := other.Query(";"); err != nil || got != "I" {
-		t.Errorf("got %q, %v", got, err)
+		t.Errorf("got %q, %v, want I", got, err)
 	}
 	for end := time.Now().Add(5 * time.Second); a.counts.ClientOpen.Load() > 1; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -796,10 +797,10 @@
 	time.Sleep(stopAcceptPeriod / 2)
 	late := dial(t, addr) // clients still connect and use open connections
 	if got, err := late.Query(lookupQuery); err != nil || got != "v1" {
-		t.Errorf("late client: got %q, %v", got, err)
+		t.Errorf("late client: got %q, %v, want v1", got, err)
 	}
 	if got, err := idle.Query(";"); err != nil || got != "I" {
-		t.Errorf("open connection: got %q, %v", got, err)
+		t.Errorf("open connection: got %q, %v, want I", got, err)
 	}
 	time.Sleep(stopAcceptPeriod/2 - 200*time.Millisecond)
 	busy.Say(pgwire.AppendQuery(nil, lookupQuery)) // ends after the acceptor has begun to close connections
@@ -818,8 +819,9 @@
 	}
 }
 
-// A client that sends its next command right after each reply must not keep its connection to a stopping gateway open: an op
-// that is open when the process is killed is lost. A command after the last read stays unread, so that the client can tell.
+// A client that sends its next command right after each reply must not keep its connection to a stopping gateway open:
+// an op that is open when the process is killed is lost. A command after the last read stays unread, so that the client
+// can tell.
 func TestStopClosesConnectionOfBusyClient(t *testing.T) {
 	t.Parallel()
 	a, d, addr, stop := startAcceptor(t, 8, func(x *exchange.Exchange) {
@@ -852,8 +854,8 @@
 	}
 }
 
-// While no connection closes and new ones keep arriving, none may stay in the listener's queue for long, as its client's time
-// runs there.
+// While no connection closes and new ones keep arriving, none may stay in the listener's queue for long, as its
+// client's time runs there.
 func TestConnectionsDoNotStayInListenerQueue(t *testing.T) {
 	t.Parallel()
 	a, _, addr, _ := startAcceptor(t, 1, func(*exchange.Exchange) {})
@@ -870,7 +872,7 @@
 		defer c.Close()
 	}
 	waitUntil(t, "all are refused", func() bool { return a.counts.ClientRefused.Load() >= 40 })
-	if took := time.Since(start); took > 40*overflowConns*firstBytesWait/4 { // each may wait for turnedAway*newcomer
+	if took := time.Since(start); took > 40*overflowConns*firstBytesWait/4 { // one alone may wait for overflowConns*firstBytesWait
 		t.Errorf("the last connection was refused after %v", took)
 	}
 	a.counts.ClientOpen.Add(-overflowConns)
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -14,8 +14,8 @@
 	"gorsewell/internal/pgwire"
 )
 
-// maxPendingCommands is how many commands of one client may wait for their replies. Beyond that, reading pauses until one
-// reply is written.
+// maxPendingCommands is how many commands of one client may wait for their replies. Beyond that, reading pauses until
+// one reply is written.
 const maxPendingCommands = 16
 
 // extraReplies is the maximum number of replies that answer no command: three refused encryption requests, one startup
@@ -151,14 +151,15 @@
 	}
 }
 
-// fill reads more bytes. A read that times out is a sign that the connection has to be closed, during a planned stop, by
-// eviction or because of the read timeout. Then fill returns errClosing if no reply is pending and no command arrives within
-// a short grace period. If replies are pending it returns errClosing at once during a planned stop, else it goes on reading.
+// fill reads more bytes. A read that times out is a sign that the connection has to be closed, during a planned stop,
+// by eviction or because of the read timeout. Then fill returns errClosing if no reply is pending and no command
+// arrives within a short grace period. If replies are pending it returns errClosing at once during a planned stop, else
+// it goes on reading.
 //
-// During a planned stop it looks for such a command only once and reads nothing more after that, however busy the connection
-// is. Otherwise a client that sends its next command right after each reply would be served on the connection until the
-// process is killed, and its open ops would be lost. Bytes that stay unread in the socket turn the close into a reset, which
-// tells the client that the command was not processed.
+// During a planned stop it looks for such a command only once and reads nothing more after that, however busy the
+// connection is. Otherwise a client that sends its next command right after each reply would be served on the
+// connection until the process is killed, and its open ops would be lost. Bytes that stay unread in the socket turn the
+// close into a reset, which tells the client that the command was not processed.
 func (c *conn) fill() error {
 	for graceUsed := false; ; {
 		n, err := c.net.Read(c.readBuffer.Room())
@@ -194,9 +195,10 @@
 const maxFastDiscard = 1 << 20
 
 // awaitReplies waits until all pending replies are written and then returns the reason. It returns errClientGone if the
-// client disconnects earlier: its open ops must then not be sent to a server again. Input after rejected input is discarded,
-// so that the end of the stream becomes visible. Input after the last read of a planned stop stays unread, which tells the
-// client that it was not processed, and the kernel is asked whether the client has closed the connection.
+// client disconnects earlier: its open ops must then not be sent to a server again. Input after rejected input is
+// discarded, so that the end of the stream becomes visible. Input after the last read of a planned stop stays unread,
+// which tells the client that it was not processed, and the kernel is asked whether the client has closed the
+// connection.
 func (c *conn) awaitReplies(reason error) error {
 	c.readingDone.Store(true) // from here on the writer ends the wait after the last reply
 	for fastLeft := maxFastDiscard; ; {
@@ -219,8 +221,8 @@
 	}
 }
 
-// awaitClientClose waits, without reading, until the client closes its end and returns true. It returns false when the read
-// deadline passes.
+// awaitClientClose waits, without reading, until the client closes its end and returns true. It returns false when the
+// read deadline passes.
 func (c *conn) awaitClientClose() (gone bool) {
 	rawConn, err := c.net.SyscallConn()
 	if err != nil {
@@ -253,9 +255,9 @@
 	return err == nil && n > 0
 }
 
-// setReadDeadline sets the deadline of reads, or ends them at once if the connection is being evicted or the acceptor is
-// stopping. Evicting and stopping set their flag first and the deadline second, so whichever of the two calls is last ends
-// the read.
+// setReadDeadline sets the deadline of reads, or ends them at once if the connection is being evicted or the acceptor
+// is stopping. Evicting and stopping set their flag first and the deadline second, so whichever of the two calls is
+// last ends the read.
 func (c *conn) setReadDeadline(deadline time.Time) {
 	c.net.SetReadDeadline(deadline)
 	if c.acceptor.stopping.Load() || c.evicting.Load() {
@@ -284,8 +286,8 @@
 	case !c.acceptor.claimID(string(s.ID)):
 		return c.rejectQuery("42710", "an op of this id is open")
 	}
-	// A command may have waited for long, in the listener's queue or while the process was suspended, and its client may have
-	// disconnected in the meantime.
+	// A command may have waited for long, in the listener's queue or while the process was suspended, and its client
+	// may have disconnected in the meantime.
 	if c.clientClosed() {
 		c.acceptor.releaseID(string(s.ID))
 		return errClientGone
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -34,7 +34,7 @@
 		}
 		want := []string{"QSELECT 1\x00", "E" + strings.Repeat("x", 9000), "ZI"}
 		if strings.Join(got, "|") != strings.Join(want, "|") {
-			t.Errorf("reads of %d bytes: got other messages than sent: %d messages, %.40q", step, len(got), got)
+			t.Errorf("reads of %d bytes: got %d messages, %.40q, want the messages as sent", step, len(got), got)
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	m, n, err := Next(s.AppendQuery(nil, 77999*time.Microsecond), MaxMessage)
 	want := strings.Replace(insertStatement, "d=480", "d=77", 1) + "\x00"
 	if err != nil || n != len(want)+5 || m.Type != Query || string(m.Body) != want {
-		t.Errorf("got %q of size %d, error %v", m.Body, n, err)
+		t.Errorf("got %q of size %d, error %v, want only d changed to 77", m.Body, n, err)
 	}
 }
 
@@ -141,7 +141,7 @@
 		"/* id=1,c=b,d=5,cluster=70000 */", "/* id=1,c=b,d=5,after=x */",
 		"/* id=1,c=b,d=5,after=9007199254740991 */", "/* id=1,c=b,d=5 */ SELECT 1", "/* id=1,c=b,d=5,z */"} {
 		if _, err := Describe([]byte(text)); !errors.Is(err, ErrComment) {
-			t.Errorf("%q: got error %v", text, err)
+			t.Errorf("%q: got error %v, want ErrComment", text, err)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 func TestParseMessageBodies(t *testing.T) {
 	m, _, _ := Next(AppendError(nil, "ERROR", "53300", "busy", "250"), MaxMessage)
 	if code, err := Code(m.Body); err != nil || string(code) != "53300" {
-		t.Errorf("got code %q, error %v", code, err)
+		t.Errorf("got code %q, error %v, want 53300", code, err)
 	}
 	for _, bad := range []string{"", "C53300\x00", "C533\x00\x00", "Mx\x00\x00", "C53300"} {
 		if code, err := Code([]byte(bad)); err != ErrMalformed {
@@ -158,7 +158,7 @@
 	}
 	if name, value, err := Parameter([]byte("role\x00primary\x00")); err != nil || string(name) != "role" ||
 		string(value) != "primary" {
-		t.Errorf("got parameter %q=%q, error %v", name, value, err)
+		t.Errorf("got parameter %q=%q, error %v, want role=primary", name, value, err)
 	}
 	for _, bad := range []string{"", "role", "role\x00", "role\x00a", "role\x00a\x00b", "\x00\x00"} {
 		if _, _, err := Parameter([]byte(bad)); err != ErrMalformed {
@@ -166,7 +166,7 @@
 		}
 	}
 	if v, err := Column([]byte("\x00\x01\x00\x00\x00\x02ab")); err != nil || string(v) != "ab" {
-		t.Errorf("got column %q, error %v", v, err)
+		t.Errorf("got column %q, error %v, want ab", v, err)
 	}
 	for _, bad := range []string{"", "\x00\x02\x00\x00\x00\x02ab", "\x00\x01\x00\x00\x00\x03ab", "\x00\x01\xff\xff\xff\xff"} {
 		if _, err := Column([]byte(bad)); err != ErrMalformed {
@@ -209,7 +209,7 @@
 		}
 		for i := range n { // no prefix of a valid message is rejected
 			if _, _, err := NextAnswer(b[:i], MaxMessage); err != nil {
-				t.Fatalf("got error %v after %d bytes of %d", err, i, n)
+				t.Fatalf("got error %v after %d bytes of %d, want none", err, i, n)
 			}
 		}
 		if n > 0 && m.Type == DataRow {
@@ -235,7 +235,7 @@
 		}
 		reparsed, err := Describe(m.Body[:len(m.Body)-1])
 		if err != nil || reparsed.Remaining != s.Remaining || !bytes.Equal(reparsed.ID, s.ID) {
-			t.Errorf("%q: got query %q, error %v", text, m.Body, err)
+			t.Errorf("%q: got query %q, error %v, want the same id and time", text, m.Body, err)
 		}
 	})
 }
--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -152,7 +152,8 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.staysQuiet() && !c.isStale() {
 		return j
 	}
-	// The server closed the connection or sent surplus bytes. Nothing was written, so the job can use another connection.
+	// The server closed the connection or sent surplus bytes. Nothing was written, so the job can use another
+	// connection.
 	p.counts.ServerBroken.Add(1)
 	p.mu.Lock()
 	j.conn = nil
--- a/internal/serverside/pool.go
+++ b/internal/serverside/pool.go
@@ -72,8 +72,8 @@
 	// deadline is the time before which the response has to arrive.
 	deadline time.Duration
 
-	// started is true once the job's query is being written. Until then the job can be withdrawn and is known not to have
-	// run. It is guarded by the pool's mutex.
+	// started is true once the job's query is being written. Until then the job can be withdrawn and is known not to
+	// have run. It is guarded by the pool's mutex.
 	started bool
 
 	// cancelled is guarded by the pool's mutex.
@@ -170,7 +170,8 @@
 		p.openConns++
 		p.counts.ServerOpen.Add(1)
 	}
-	// A goroutine is used even if no connection can be opened: the result must not be reported before this call has returned.
+	// A goroutine is used even if no connection can be opened: the result must not be reported before this call has
+	// returned.
 	p.group.Go(func() error {
 		defer cancel()
 		if !canConnect {
--- a/internal/serverside/receive.go
+++ b/internal/serverside/receive.go
@@ -174,8 +174,8 @@
 	return position
 }
 
-// parseReport parses the known fields of a load report such as x0=1767225600.123,x1=1. It returns nil if any field of the
-// report cannot be parsed.
+// parseReport parses the known fields of a load report such as x0=1767225600.123,x1=1. It returns nil if any field of
+// the report cannot be parsed.
 func (c *conn) parseReport(text string) *exchange.Report {
 	r := &exchange.Report{Position: choice.LongPast}
 	for field := range strings.SplitSeq(text, ",") {
--- a/internal/serverside/serverside_test.go
+++ b/internal/serverside/serverside_test.go
@@ -97,7 +97,7 @@
 		response := standin.Row("value", "replica", at)
 		row, _, _ := strings.Cut(string(response), "S\x00\x00\x00\x11role")
 		if r.Result != choice.Acked || r.Role != choice.Replica || string(r.Answer) != row {
-			t.Errorf("got %+v", r)
+			t.Errorf("got %+v, want result Acked, the role and the row", r)
 		}
 		if ago := before - r.Position; ago < 2*time.Second || ago > 4*time.Second {
 			t.Errorf("got a position %v ago, want 3s", ago)
@@ -107,7 +107,7 @@
 		}
 	}
 	if p.counts.ServerConns.Load() != 1 || p.counts.ServerReused.Load() != 1 || p.counts.Sent.Load() != 2 {
-		t.Errorf("got counters %s", p.counts)
+		t.Errorf("got counters %s, want server_conns=1 server_reused=1 sent=2", p.counts)
 	}
 }
 
@@ -149,8 +149,9 @@
 	}
 }
 
-// Surplus bytes after a valid response must close the connection without spoiling the response, and must not be taken for
-// the response of a later op. They arrive in the same read, or shortly after while the connection already has its next job.
+// Surplus bytes after a valid response must close the connection without spoiling the response, and must not be taken
+// for the response of a later op. They arrive in the same read, or shortly after while the connection already has its
+// next job.
 func TestSurplusAfterResponseReachesNoLaterOp(t *testing.T) {
 	const longQuietPeriod = 400 * time.Millisecond // long enough for the surplus to arrive in it on a busy machine
 	for _, after := range []time.Duration{0, time.Millisecond, longQuietPeriod / 4} {
@@ -165,7 +166,7 @@
 		p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 		for n := range 2 {
 			if r := ended.wait(t); r.Result != choice.Acked || !bytes.Contains(r.Answer, fmt.Append(nil, "value ", n+1)) {
-				t.Errorf("surplus after %v: got answer %q, %+v", after, r.Answer, r)
+				t.Errorf("surplus after %v: got answer %q, %+v, want result Acked and its own value", after, r.Answer, r)
 			}
 		}
 		if opened := p.counts.ServerConns.Load(); opened != 2 {
@@ -174,8 +175,8 @@
 	}
 }
 
-// Under three times the usual load values of 360 KB occurred, although the protocol documents 64 KiB. Each one closed its
-// connection, as the limit was not configurable.
+// Under three times the usual load values of 360 KB occurred, although the protocol documents 64 KiB. Each one closed
+// its connection, as the limit was not configurable.
 func TestLongestMessageSettingLimitsValues(t *testing.T) {
 	value := strings.Repeat("v", 360<<10)
 	p, ended := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row(value, "replica", 1), true }})
@@ -202,7 +203,7 @@
 		for range 2 {
 			p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 			if r := ended.wait(t); r.Result != choice.Acked || r.Role != 0 || r.Position != choice.LongPast || r.Report != nil {
-				t.Errorf("%q: got %+v", parameter, r)
+				t.Errorf("%q: got %+v, want result Acked and nothing else", parameter, r)
 			}
 		}
 		if p.counts.ServerConns.Load() != 1 {
@@ -242,7 +243,7 @@
 	}}
 	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.Reset {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want result Reset", r)
 	}
 }
 
@@ -250,7 +251,7 @@
 	p, ended := newPool(t, 8, &standin.Database{Welcome: append(pgwire.AppendWelcome(nil), standin.Row("v", "replica", 1)...)})
 	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.NoConnection || p.counts.Sent.Load() != 0 {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want result NoConnection and nothing sent", r)
 	}
 }
 
@@ -271,17 +272,17 @@
 		p.sendUntil(newOp(t), 0, id, p.testDeadline())
 		r := ended.wait(t)
 		if r.Result != choice.NoConnection || id == 9 != (r.Took > p.settings.ConnectTimeout/2) || r.Took > time.Second {
-			t.Errorf("server %d: got %+v", id, r)
+			t.Errorf("server %d: got %+v, want result NoConnection, at the connect timeout only for server 9", id, r)
 		}
 	}
 	// A silent server is at fault too if the deadline of the op or the probe passes before the connect timeout.
 	p.sendUntil(newOp(t), 0, 9, p.clock.Now()+30*time.Millisecond)
 	if r := ended.wait(t); r.Result != choice.NoConnection {
-		t.Errorf("an op with little time left: got %+v", r)
+		t.Errorf("an op with little time left: got %+v, want result NoConnection", r)
 	}
 	p.Probe(9)
 	if r := ended.wait(t); r.Result != choice.NoConnection {
-		t.Errorf("a probe: got %+v", r)
+		t.Errorf("a probe: got %+v, want result NoConnection", r)
 	}
 	if p.counts.Sent.Load() != 0 {
 		t.Error("got a send counted, want none")
@@ -296,11 +297,11 @@
 	for range 2 {
 		p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 		if r := ended.wait(t); r.Result != choice.Acked {
-			t.Errorf("got %+v", r)
+			t.Errorf("got %+v, want result Acked", r)
 		}
 	}
 	if p.counts.ServerConns.Load() != 2 || p.counts.Sent.Load() != 2 {
-		t.Errorf("got counters %s", p.counts)
+		t.Errorf("got counters %s, want server_conns=2 sent=2", p.counts)
 	}
 }
 
@@ -333,7 +334,7 @@
 		t.Error("the closed connection took the job")
 	}
 	if r := ended.wait(t); r.Result != choice.Acked || p.counts.Sent.Load() != 1 {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want result Acked and 1 send", r)
 	}
 }
 
@@ -382,7 +383,7 @@
 	}
 	p.Cancel(x, 0)
 	if r := ended.wait(t); r.Result != choice.Cancelled {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want result Cancelled", r)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -398,11 +399,11 @@
 	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	for range 2 {
 		if r := ended.wait(t); r.Result != choice.Acked {
-			t.Errorf("got %+v", r)
+			t.Errorf("got %+v, want result Acked", r)
 		}
 	}
 	if p.counts.ServerConns.Load() != 1 {
-		t.Errorf("got counters %s", p.counts)
+		t.Errorf("got counters %s, want server_conns=1", p.counts)
 	}
 }
 
@@ -423,13 +424,13 @@
 	close(x.Done)
 	p.sendUntil(x, 0, testServer, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.NotSent || p.counts.Sent.Load() != 0 {
-		t.Errorf("got %+v, counters %s", r, p.counts)
+		t.Errorf("got %+v, counters %s, want result NotSent and nothing sent", r, p.counts)
 	}
 }
 
-// Between the decision to send and the first byte a connection has to be opened. Each case stops in the middle of that while
-// the server is announced as leaving, the client disconnects or startBy passes. Then nothing is written, and the result NotSent
-// means that the op did not run.
+// Between the decision to send and the first byte a connection has to be opened. Each case stops in the middle of that
+// while the server is announced as leaving, the client disconnects or startBy passes. Then nothing is written, and the
+// result NotSent means that the op did not run.
 func TestJobsThatHaveNotStartedAreNotExecuted(t *testing.T) {
 	for name, c := range map[string]struct {
 		probe  bool
@@ -464,7 +465,7 @@
 				defer close(proceed)
 			}
 			if r := ended.wait(t); r.Result != choice.NotSent || r.Took > 3*time.Second || p.counts.Sent.Load() != 0 {
-				t.Errorf("got %+v, counters %s", r, p.counts)
+				t.Errorf("got %+v, counters %s, want result NotSent and nothing sent", r, p.counts)
 			}
 		})
 	}
@@ -483,7 +484,7 @@
 	p.Withdraw(testServer)
 	close(answer)
 	if r := ended.wait(t); r.Result != choice.Acked {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want result Acked", r)
 	}
 }
 
@@ -504,11 +505,11 @@
 	late.Due = p.testDeadline()
 	p.Send(late, 0, testServer, p.clock.Now())
 	if r := ended.wait(t); r.Result != choice.NotSent {
-		t.Errorf("a send after its startBy: got %+v", r)
+		t.Errorf("a send after its startBy: got %+v, want result NotSent", r)
 	}
 	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.Acked || p.counts.ServerConns.Load() != 1 || p.counts.Sent.Load() != 2 {
-		t.Errorf("got %+v, counters %s", r, p.counts)
+		t.Errorf("got %+v, counters %s, want result Acked, 1 connection and 2 sends", r, p.counts)
 	}
 }
 
@@ -543,19 +544,19 @@
 	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	p.sendUntil(newOp(t), 0, 8, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.NotSent {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want result NotSent", r)
 	}
 	if r := ended.wait(t); r.Result != choice.Acked {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want result Acked", r)
 	}
 	slow.Store(false)
 	p.sendUntil(newOp(t), 0, 8, p.testDeadline()) // evicts the idle connection to another server
 	if r := ended.wait(t); r.Result != choice.Acked {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want result Acked", r)
 	}
 	p.sendUntil(newOp(t), 0, 9, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.NotSent {
-		t.Errorf("a server without an address: got %+v", r)
+		t.Errorf("a server without an address: got %+v, want result NotSent", r)
 	}
 }
 
@@ -569,7 +570,7 @@
 	p.Probe(testServer)
 	r := ended.wait(t)
 	if q := <-asked; r.Result != choice.Acked || q != "SHOW load" || r.Report == nil || r.Report.Role != choice.Primary {
-		t.Fatalf("got %+v after query %q", r, q)
+		t.Fatalf("got %+v after query %q, want result Acked and role primary after SHOW load", r, q)
 	}
 	// The position is rounded down, by no more than two milliseconds.
 	if want, _ := p.clock.FromUnix(at.UnixMilli()); want-r.Report.Position < 0 || want-r.Report.Position > 3*time.Millisecond {
@@ -578,6 +579,6 @@
 	p.settings.ReportNames = nil
 	p.Probe(testServer)
 	if r := ended.wait(t); r.Result != choice.Acked || <-asked != "SELECT 1" {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want result Acked after SELECT 1", r)
 	}
 }
