--- a/internal/clientside/accept.go
+++ b/internal/clientside/accept.go
@@ -253,7 +253,7 @@
 	if remaining <= a.maxConns {
 		return true
 	}
-	slices.SortFunc(evictable, func(x, y *conn) int { return cmp.Compare(x.lastActivity.Load(), y.lastActivity.Load()) })
+	slices.SortFunc(evictable, func(first, second *conn) int { return cmp.Compare(first.lastActivity.Load(), second.lastActivity.Load()) })
 	for _, c := range evictable[:min(int64(len(evictable)), remaining-a.maxConns)] {
 		remaining--
 		a.counts.ClientIdleClosed.Add(1)
@@ -345,8 +345,8 @@
 		reason = c.awaitReplies(reason)
 	}
 	if reason == errClientGone {
-		for _, x := range c.openOps {
-			a.dispatcher.Left(x)
+		for _, op := range c.openOps {
+			a.dispatcher.Left(op)
 		}
 	}
 	close(c.replies)
--- a/internal/clientside/answer.go
+++ b/internal/clientside/answer.go
@@ -72,14 +72,14 @@
 }
 
 // finalReply returns the reply to an op that has ended, or nil if its client has disconnected.
-func finalReply(x *exchange.Exchange) []byte {
-	switch x.Outcome {
+func finalReply(op *exchange.Exchange) []byte {
+	switch op.Outcome {
 	case exchange.Acked:
-		return pgwire.AppendReady(x.Answer)
+		return pgwire.AppendReady(op.Answer)
 	case exchange.BusyReplied:
 		retryAfter := ""
-		if x.ComeBackIn > 0 {
-			retryAfter = strconv.FormatInt(x.ComeBackIn.Milliseconds(), 10)
+		if op.ComeBackIn > 0 {
+			retryAfter = strconv.FormatInt(op.ComeBackIn.Milliseconds(), 10)
 		}
 		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "53300", "busy, try again", retryAfter))
 	case exchange.Errored:
--- a/internal/clientside/clientside_test.go
+++ b/internal/clientside/clientside_test.go
@@ -29,25 +29,25 @@
 	mu     sync.Mutex
 	taken  []*exchange.Exchange
 	left   chan *exchange.Exchange
-	onTake func(x *exchange.Exchange)
+	onTake func(op *exchange.Exchange)
 }
 
-func (d *fakeDispatcher) Take(x *exchange.Exchange) {
+func (d *fakeDispatcher) Take(op *exchange.Exchange) {
 	d.mu.Lock()
-	d.taken = append(d.taken, x)
+	d.taken = append(d.taken, op)
 	d.mu.Unlock()
-	go d.onTake(x)
+	go d.onTake(op)
 }
 
-func (d *fakeDispatcher) Left(x *exchange.Exchange) { d.left <- x }
+func (d *fakeDispatcher) Left(op *exchange.Exchange) { d.left <- op }
 
 // Stop ends all open ops with an error.
 func (d *fakeDispatcher) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, x := range d.taken {
-		if !x.Over() {
-			finish(x, exchange.Errored)
+	for _, op := range d.taken {
+		if !op.Over() {
+			finish(op, exchange.Errored)
 		}
 	}
 }
@@ -70,18 +70,18 @@
 	return queries
 }
 
-func finish(x *exchange.Exchange, outcome exchange.Outcome) {
-	x.Outcome = outcome
-	close(x.Done)
+func finish(op *exchange.Exchange, outcome exchange.Outcome) {
+	op.Outcome = outcome
+	close(op.Done)
 }
 
 // opID returns the client's id for the op.
-func opID(x *exchange.Exchange) string { return string(x.Statement.(*pgwire.Statement).ID) }
+func opID(op *exchange.Exchange) string { return string(op.Statement.(*pgwire.Statement).ID) }
 
-func ack(x *exchange.Exchange) {
-	row := standin.Row("v"+opID(x), "primary", 1)
-	x.Answer = row[:len(row)-6] // without ReadyForQuery, which the acceptor adds
-	finish(x, exchange.Acked)
+func ack(op *exchange.Exchange) {
+	row := standin.Row("v"+opID(op), "primary", 1)
+	op.Answer = row[:len(row)-6] // without ReadyForQuery, which the acceptor adds
+	finish(op, exchange.Acked)
 }
 
 // startAcceptor starts an acceptor on a port of its own. The function stop stops it and waits for its end.
@@ -143,19 +143,19 @@
 		expect(t, c, "")
 		expect(t, c, "v1")
 	}
-	if x := d.taken[0]; string(x.Statement.(*pgwire.Statement).Text) != lookupQuery || x.OpType != 0 || x.Group != 3 || x.Again ||
-		x.After != choice.LongPast {
-		t.Errorf("got op %+v", x)
+	if op := d.taken[0]; string(op.Statement.(*pgwire.Statement).Text) != lookupQuery || op.OpType != 0 || op.Group != 3 || op.Again ||
+		op.After != choice.LongPast {
+		t.Errorf("got op %+v", op)
 	}
 }
 
 func TestRepliesKeepOrderOfCommands(t *testing.T) {
 	t.Parallel()
-	_, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
-		if opID(x) == "1" {
+	_, _, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) {
+		if opID(op) == "1" {
 			time.Sleep(50 * time.Millisecond)
 		}
-		ack(x)
+		ack(op)
 	})
 	c := dial(t, addr)
 	queries := pgwire.AppendQuery(pgwire.AppendQuery(nil, lookupQuery), strings.Replace(lookupQuery, "id=1", "id=2", 1))
@@ -170,9 +170,9 @@
 func TestFinalReplies(t *testing.T) {
 	t.Parallel()
 	outcome := exchange.BusyReplied
-	_, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
-		x.ComeBackIn = 250 * time.Millisecond
-		finish(x, outcome)
+	_, _, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) {
+		op.ComeBackIn = 250 * time.Millisecond
+		finish(op, outcome)
 	})
 	c := dial(t, addr)
 	if got, err := c.Query(lookupQuery); err != nil || got != "C53300D250" {
@@ -188,9 +188,9 @@
 // queued.
 func TestOpThatEndsLateIsAnswered(t *testing.T) {
 	t.Parallel()
-	_, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
+	_, _, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) {
 		time.Sleep(80 * time.Millisecond) // longer than its remaining time and the time for a write
-		finish(x, exchange.Errored)
+		finish(op, exchange.Errored)
 	})
 	c := dial(t, addr)
 	if got, err := c.Query(strings.Replace(lookupQuery, "d=400", "d=40", 1)); err != nil || got != "C08007" {
@@ -213,8 +213,8 @@
 		time.Sleep(20 * time.Millisecond)
 		leave(c)
 		select {
-		case x := <-d.left:
-			finish(x, exchange.Left)
+		case op := <-d.left:
+			finish(op, exchange.Left)
 		case <-time.After(5 * time.Second):
 			t.Fatalf("%s: disconnect not detected", name)
 		}
@@ -254,8 +254,8 @@
 			}
 			for range c.want {
 				select {
-				case x := <-d.left:
-					finish(x, exchange.Left)
+				case op := <-d.left:
+					finish(op, exchange.Left)
 				case <-time.After(20 * time.Second):
 					t.Fatal("disconnect not detected")
 				}
@@ -336,8 +336,8 @@
 	d, c, stopped := stoppingClient(t)
 	c.Close()
 	select {
-	case x := <-d.left:
-		finish(x, exchange.Left)
+	case op := <-d.left:
+		finish(op, exchange.Left)
 	case <-time.After(20 * time.Second):
 		t.Fatal("disconnect not detected")
 	}
@@ -506,11 +506,11 @@
 
 func TestQuietConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
-	a, _, addr, _ := startAcceptor(t, 3, func(x *exchange.Exchange) {
-		if opID(x) == "1" {
+	a, _, addr, _ := startAcceptor(t, 3, func(op *exchange.Exchange) {
+		if opID(op) == "1" {
 			time.Sleep(idleTimeout + 500*time.Millisecond)
 		}
-		ack(x)
+		ack(op)
 	})
 	busy, idle := dial(t, addr), dial(t, addr)
 	idle.Query(strings.Replace(lookupQuery, "id=1", "id=2", 1))
@@ -583,11 +583,11 @@
 func TestCommandDuringEvictionIsAnswered(t *testing.T) {
 	t.Parallel()
 	held := make(chan *exchange.Exchange, 1)
-	a, d, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) { held <- x })
+	a, d, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) { held <- op })
 	c := dial(t, addr)
 	for n := range 3 {
 		c.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", fmt.Sprintf("id=%d", n), 1)))
-		x := <-held
+		op := <-held
 		a.mu.Lock()
 		for k := range a.conns {
 			k.evicting.Store(true)
@@ -595,7 +595,7 @@
 			waitUntil(t, "the eviction is revoked", func() bool { return !k.evicting.Load() })
 		}
 		a.mu.Unlock()
-		ack(x)
+		ack(op)
 		expect(t, c, fmt.Sprintf("v%d", n))
 	}
 	if len(d.left) > 0 {
@@ -606,9 +606,9 @@
 func TestDuplicateOpenIDIsRejected(t *testing.T) {
 	t.Parallel()
 	end := make(chan struct{})
-	a, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
+	a, _, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) {
 		<-end
-		ack(x)
+		ack(op)
 	})
 	first, second := dial(t, addr), dial(t, addr)
 	first.Say(pgwire.AppendQuery(nil, lookupQuery))
@@ -631,13 +631,13 @@
 func TestPipelinedCommandsAreAllAnswered(t *testing.T) {
 	t.Parallel()
 	var open, maxOpen atomic.Int32
-	_, d, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
+	_, d, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) {
 		if n := open.Add(1); n > maxOpen.Load() {
 			maxOpen.Store(n)
 		}
 		time.Sleep(time.Millisecond)
 		open.Add(-1)
-		ack(x)
+		ack(op)
 	})
 	c := dial(t, addr)
 	c.Say(numberedQueries(300))
@@ -675,9 +675,9 @@
 	for n := range maxPendingCommands + 3 {
 		waitUntil(t, "the op is taken", func() bool { return takenCount(d) > n })
 		d.mu.Lock()
-		x := d.taken[n]
+		op := d.taken[n]
 		d.mu.Unlock()
-		ack(x)
+		ack(op)
 		expect(t, c, fmt.Sprintf("v%d", n))
 	}
 	<-stopped
@@ -696,9 +696,9 @@
 
 func TestOpenOpsAreAnsweredBeforeFatalError(t *testing.T) {
 	t.Parallel()
-	_, d, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
+	_, d, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) {
 		time.Sleep(30 * time.Millisecond)
-		ack(x)
+		ack(op)
 	})
 	c := dial(t, addr)
 	c.Say(append(pgwire.AppendQuery(nil, lookupQuery), "z\x00\x00\x00\x04"...))
@@ -759,9 +759,9 @@
 func TestClientThatDoesNotReadBlocksNoOther(t *testing.T) {
 	t.Parallel()
 	longValue := strings.Repeat("x", 1<<20)
-	a, _, addr, _ := startAcceptor(t, 8, func(x *exchange.Exchange) {
-		x.Answer = pgwire.AppendMessage(nil, pgwire.DataRow, longValue)
-		finish(x, exchange.Acked)
+	a, _, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) {
+		op.Answer = pgwire.AppendMessage(nil, pgwire.DataRow, longValue)
+		finish(op, exchange.Acked)
 	})
 	stuck, other := dial(t, addr), dial(t, addr)
 	stuck.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -780,10 +780,10 @@
 
 func TestStopAnswersAllOpenOps(t *testing.T) {
 	t.Parallel()
-	a, d, addr, stop := startAcceptor(t, 8, func(x *exchange.Exchange) {
-		if opID(x) == "1" {
+	a, d, addr, stop := startAcceptor(t, 8, func(op *exchange.Exchange) {
+		if opID(op) == "1" {
 			time.Sleep(150 * time.Millisecond)
-			ack(x)
+			ack(op)
 		}
 	})
 	disconnecting := dial(t, addr)
@@ -824,9 +824,9 @@
 // can tell.
 func TestStopClosesConnectionOfBusyClient(t *testing.T) {
 	t.Parallel()
-	a, d, addr, stop := startAcceptor(t, 8, func(x *exchange.Exchange) {
+	a, d, addr, stop := startAcceptor(t, 8, func(op *exchange.Exchange) {
 		time.Sleep(closeGrace / 4)
-		ack(x)
+		ack(op)
 	})
 	c := dial(t, addr)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -294,14 +294,14 @@
 	}
 	c.sentCommand.Store(true)
 	now := c.acceptor.clock.Now()
-	x := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), Again: s.Again,
+	op := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), Again: s.Again,
 		Due: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout), Target: c.acceptor.settings.OpTypes[opType].Target, After: choice.LongPast, Done: make(chan struct{})}
 	if position, ok := c.acceptor.clock.FromUnix(s.After); ok {
-		x.After = position
+		op.After = position
 	}
-	c.openOps = append(slices.DeleteFunc(c.openOps, (*exchange.Exchange).Over), x)
-	c.acceptor.dispatcher.Take(x)
-	c.enqueue(reply{op: x, opID: string(s.ID), answersCommand: true})
+	c.openOps = append(slices.DeleteFunc(c.openOps, (*exchange.Exchange).Over), op)
+	c.acceptor.dispatcher.Take(op)
+	c.enqueue(reply{op: op, opID: string(s.ID), answersCommand: true})
 	return nil
 }
 
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -15,14 +15,14 @@
 	stream := AppendQuery(nil, "SELECT 1")
 	stream = AppendReady(AppendMessage(stream, ErrorResponse, strings.Repeat("x", 9000)))
 	for _, step := range []int{1, 2, 3, 7, 4096, len(stream)} {
-		var w Window
+		var buffer Window
 		var got []string
 		for rest := stream; len(rest) > 0; {
-			n := copy(w.Room(), rest[:min(step, len(rest))])
-			w.Filled(n)
+			n := copy(buffer.Room(), rest[:min(step, len(rest))])
+			buffer.Filled(n)
 			rest = rest[n:]
 			for {
-				m, ok, err := w.Next()
+				m, ok, err := buffer.Next()
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/pgwire/window.go
+++ b/internal/pgwire/window.go
@@ -24,47 +24,47 @@
 )
 
 // Space returns free space to read into.
-func (w *Window) Room() []byte {
-	if w.start == w.end {
-		w.start, w.end = 0, 0
-		if len(w.buf) > bufferSize {
-			w.buf = nil // free the memory of a rare long message
+func (b *Window) Room() []byte {
+	if b.start == b.end {
+		b.start, b.end = 0, 0
+		if len(b.buf) > bufferSize {
+			b.buf = nil // free the memory of a rare long message
 		}
 	}
-	if len(w.buf)-w.end < minSpace {
-		unread := w.buf[w.start:w.end]
-		if size := max(bufferSize, 2*len(unread)); size > len(w.buf) {
-			w.buf = make([]byte, size)
+	if len(b.buf)-b.end < minSpace {
+		unread := b.buf[b.start:b.end]
+		if size := max(bufferSize, 2*len(unread)); size > len(b.buf) {
+			b.buf = make([]byte, size)
 		}
-		w.start, w.end = 0, copy(w.buf, unread)
+		b.start, b.end = 0, copy(b.buf, unread)
 	}
-	return w.buf[w.end:]
+	return b.buf[b.end:]
 }
 
 // Filled records that n bytes were read into the free space.
-func (w *Window) Filled(n int) { w.end += n }
+func (b *Window) Filled(n int) { b.end += n }
 
 // Bytes returns the bytes that were read and not yet removed.
-func (w *Window) Bytes() []byte { return w.buf[w.start:w.end] }
+func (b *Window) Bytes() []byte { return b.buf[b.start:b.end] }
 
 // Discard removes n bytes from the front.
-func (w *Window) Take(n int) { w.start += n }
+func (b *Window) Take(n int) { b.start += n }
 
 // Next removes and returns the next message if all of it has been read.
-func (w *Window) Next() (m Message, ok bool, err error) {
-	return w.consume(Next(w.Bytes(), w.Longest()))
+func (b *Window) Next() (m Message, ok bool, err error) {
+	return b.consume(Next(b.Bytes(), b.Longest()))
 }
 
 // NextServerMessage is like Next for messages from a server.
-func (w *Window) NextAnswer() (m Message, ok bool, err error) {
-	return w.consume(NextAnswer(w.Bytes(), w.Longest()))
+func (b *Window) NextAnswer() (m Message, ok bool, err error) {
+	return b.consume(NextAnswer(b.Bytes(), b.Longest()))
 }
 
 // MessageLimit returns the greatest length of a message in bytes.
-func (w *Window) Longest() int { return max(w.Most, MaxMessage) }
+func (b *Window) Longest() int { return max(b.Most, MaxMessage) }
 
 // consume removes n bytes and passes on the result of a parser. A message was complete if n is greater than 0.
-func (w *Window) consume(m Message, n int, err error) (Message, bool, error) {
-	w.start += n
+func (b *Window) consume(m Message, n int, err error) (Message, bool, error) {
+	b.start += n
 	return m, n > 0, err
 }
--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -61,13 +61,13 @@
 		return
 	}
 	for j != nil {
-		e, reusable := c.execute(j)
+		ended, reusable := c.execute(j)
 		if reusable {
 			c.release() // before the result is reported, as that may lead to the next job
 		} else {
 			netConn.Close() // before the result is reported: the op may then be sent again, and it must never have two open sends
 		}
-		p.finish(j, e)
+		p.finish(j, ended)
 		if !reusable {
 			return
 		}
@@ -79,11 +79,11 @@
 // was earlier than its deadline and ended the attempt: then the result is NotSent.
 func (p *Pool) connectFailed(j *job) {
 	p.counts.ServerRefused.Add(1)
-	e := exchange.Ended{Result: choice.NoConnection, Position: choice.LongPast}
+	ended := exchange.Ended{Result: choice.NoConnection, Position: choice.LongPast}
 	if j.startBy < j.deadline && p.clock.Now() >= j.startBy {
-		e.Result = choice.NotSent
+		ended.Result = choice.NotSent
 	}
-	p.finish(j, e)
+	p.finish(j, ended)
 }
 
 // attach records the connection of the job. It returns false if the job was cancelled in the meantime.
--- a/internal/serverside/pool.go
+++ b/internal/serverside/pool.go
@@ -130,8 +130,8 @@
 }
 
 // Send submits a send. SendEnded reports its result. A send that has not started at the time startBy is never executed.
-func (p *Pool) Send(x *exchange.Exchange, number uint8, server uint32, startBy time.Duration) {
-	p.submit(&job{op: x, number: number, server: server, startBy: min(startBy, x.Due), deadline: x.Due})
+func (p *Pool) Send(op *exchange.Exchange, number uint8, server uint32, startBy time.Duration) {
+	p.submit(&job{op: op, number: number, server: server, startBy: min(startBy, op.Due), deadline: op.Due})
 }
 
 // Probe submits a probe. ProbeEnded reports its result.
@@ -223,10 +223,10 @@
 }
 
 // Cancel cancels a send. Its result is still reported.
-func (p *Pool) Cancel(x *exchange.Exchange, number uint8) {
+func (p *Pool) Cancel(op *exchange.Exchange, number uint8) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if j := p.sends[x]; j != nil && j.number == number {
+	if j := p.sends[op]; j != nil && j.number == number {
 		p.cancel(j)
 	}
 }
@@ -272,14 +272,14 @@
 }
 
 // finish reports the result of a job. It is called exactly once for each job.
-func (p *Pool) finish(j *job, e exchange.Ended) {
-	e.Took = p.clock.Now() - j.submittedAt
+func (p *Pool) finish(j *job, ended exchange.Ended) {
+	ended.Took = p.clock.Now() - j.submittedAt
 	p.mu.Lock()
 	switch {
 	case j.cancelled && !j.started:
-		e.Result = choice.NotSent
-	case j.cancelled && e.Result != choice.Acked:
-		e.Result = choice.Cancelled
+		ended.Result = choice.NotSent
+	case j.cancelled && ended.Result != choice.Acked:
+		ended.Result = choice.Cancelled
 	}
 	if j.op != nil {
 		delete(p.sends, j.op)
@@ -288,14 +288,14 @@
 	}
 	p.mu.Unlock()
 	if j.op != nil {
-		p.counts.SendEnds[e.Result].Add(1)
-		p.events.SendEnded(j.op, j.number, j.server, e)
+		p.counts.SendEnds[ended.Result].Add(1)
+		p.events.SendEnded(j.op, j.number, j.server, ended)
 		return
 	}
-	if e.Result == choice.Acked {
+	if ended.Result == choice.Acked {
 		p.counts.ProbesAcked.Add(1)
 	}
-	p.events.ProbeEnded(j.server, e)
+	p.events.ProbeEnded(j.server, ended)
 }
 
 // dialer disables TCP keep-alive.
--- a/internal/serverside/receive.go
+++ b/internal/serverside/receive.go
@@ -50,7 +50,7 @@
 
 // receive reads the response to a query that was written completely, up to ReadyForQuery. The server's role and position
 // arrive just before that. The connection is reusable if ReadyForQuery was read.
-func (c *conn) receive(j *job) (e exchange.Ended, reusable bool) {
+func (c *conn) receive(j *job) (ended exchange.Ended, reusable bool) {
 	a := answer{Ended: exchange.Ended{Position: choice.LongPast}}
 	var err error
 	for err == nil {
--- a/internal/serverside/send.go
+++ b/internal/serverside/send.go
@@ -10,7 +10,7 @@
 )
 
 // execute executes one job. The connection must not be used again unless it is reusable.
-func (c *conn) execute(j *job) (e exchange.Ended, reusable bool) {
+func (c *conn) execute(j *job) (ended exchange.Ended, reusable bool) {
 	p := c.pool
 	if !c.startJob(j) {
 		return exchange.Ended{Result: choice.NotSent, Position: choice.LongPast}, true
@@ -24,10 +24,10 @@
 	if j.op != nil {
 		p.counts.Sent.Add(1)
 	}
-	if e, reusable = c.receive(j); !reusable {
+	if ended, reusable = c.receive(j); !reusable {
 		p.counts.ServerBroken.Add(1)
 	}
-	return e, reusable
+	return ended, reusable
 }
 
 // startJob marks the job as started and applies its deadline to the connection. It returns false if the job was
--- a/internal/serverside/serverside_test.go
+++ b/internal/serverside/serverside_test.go
@@ -75,9 +75,9 @@
 }
 
 // sendUntil submits a send for an op whose client waits until the time due.
-func (p *Pool) sendUntil(x *exchange.Exchange, number uint8, server uint32, due time.Duration) {
-	x.Due = due
-	p.Send(x, number, server, due)
+func (p *Pool) sendUntil(op *exchange.Exchange, number uint8, server uint32, due time.Duration) {
+	op.Due = due
+	p.Send(op, number, server, due)
 }
 
 // testDeadline returns a time that no test reaches.
@@ -372,16 +372,16 @@
 
 func TestCancel(t *testing.T) {
 	p, ended := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return nil, true }})
-	x := newOp(t)
-	p.sendUntil(x, 0, testServer, p.testDeadline())
+	op := newOp(t)
+	p.sendUntil(op, 0, testServer, p.testDeadline())
 	time.Sleep(50 * time.Millisecond)
-	p.Cancel(x, 1) // not the number of the open send: no effect
+	p.Cancel(op, 1) // not the number of the open send: no effect
 	select {
 	case r := <-ended:
 		t.Fatalf("cancelling another send ended this one: %+v", r)
 	case <-time.After(50 * time.Millisecond):
 	}
-	p.Cancel(x, 0)
+	p.Cancel(op, 0)
 	if r := ended.wait(t); r.Result != choice.Cancelled {
 		t.Errorf("got %+v, want result Cancelled", r)
 	}
@@ -413,16 +413,16 @@
 	onSendEnd func()
 }
 
-func (c chainedEvents) SendEnded(x *exchange.Exchange, number uint8, server uint32, r exchange.Ended) {
+func (c chainedEvents) SendEnded(op *exchange.Exchange, number uint8, server uint32, r exchange.Ended) {
 	c.onSendEnd()
-	c.results.SendEnded(x, number, server, r)
+	c.results.SendEnded(op, number, server, r)
 }
 
 func TestNothingIsSentForEndedOp(t *testing.T) {
 	p, ended := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
-	x := newOp(t)
-	close(x.Done)
-	p.sendUntil(x, 0, testServer, p.testDeadline())
+	op := newOp(t)
+	close(op.Done)
+	p.sendUntil(op, 0, testServer, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.NotSent || p.counts.Sent.Load() != 0 {
 		t.Errorf("got %+v, counters %s, want result NotSent and nothing sent", r, p.counts)
 	}
@@ -434,12 +434,12 @@
 func TestJobsThatHaveNotStartedAreNotExecuted(t *testing.T) {
 	for name, c := range map[string]struct {
 		probe  bool
-		action func(p *Pool, x *exchange.Exchange)
+		action func(p *Pool, op *exchange.Exchange)
 	}{
 		"withdrawn":           {action: func(p *Pool, _ *exchange.Exchange) { p.Withdraw(testServer) }},
 		"a probe withdrawn":   {probe: true, action: func(p *Pool, _ *exchange.Exchange) { p.Withdraw(testServer) }},
-		"cancelled":           {action: func(p *Pool, x *exchange.Exchange) { p.Cancel(x, 0) }},
-		"client disconnected": {action: func(_ *Pool, x *exchange.Exchange) { close(x.Done) }},
+		"cancelled":           {action: func(p *Pool, op *exchange.Exchange) { p.Cancel(op, 0) }},
+		"client disconnected": {action: func(_ *Pool, op *exchange.Exchange) { close(op.Done) }},
 		"too late":            {action: func(*Pool, *exchange.Exchange) {}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -448,17 +448,17 @@
 			p, ended := newPool(t, 8, &standin.Database{Comes: func() { arrived <- struct{}{}; <-proceed },
 				Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
 			p.settings.ConnectTimeout = 10 * time.Second
-			x, startBy := newOp(t), p.testDeadline()
-			if x.Due = startBy; name == "too late" {
+			op, startBy := newOp(t), p.testDeadline()
+			if op.Due = startBy; name == "too late" {
 				startBy = p.clock.Now() + 30*time.Millisecond
 			}
 			if c.probe {
 				p.Probe(testServer)
 			} else {
-				p.Send(x, 0, testServer, startBy)
+				p.Send(op, 0, testServer, startBy)
 			}
 			<-arrived
-			c.action(p, x)
+			c.action(p, op)
 			if name == "client disconnected" {
 				close(proceed) // the connection is opened all the same, and the op is checked once it is open
 			} else {
@@ -515,12 +515,12 @@
 
 func TestInvariantsAreChecked(t *testing.T) {
 	p, _ := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
-	x := newOp(t)
-	p.sends[x] = &job{}
-	if !standin.Breaks(func() { p.sendUntil(x, 1, testServer, p.testDeadline()) }) {
+	op := newOp(t)
+	p.sends[op] = &job{}
+	if !standin.Breaks(func() { p.sendUntil(op, 1, testServer, p.testDeadline()) }) {
 		t.Error("a second open send of an op breaks no invariant")
 	}
-	delete(p.sends, x)
+	delete(p.sends, op)
 	clientEnd, serverEnd := net.Pipe()
 	defer clientEnd.Close()
 	serverEnd.Close()
