--- a/internal/clientside/accept.go
+++ b/internal/clientside/accept.go
@@ -253,7 +253,9 @@
 	if remaining <= a.maxConns {
 		return true
 	}
-	slices.SortFunc(evictable, func(first, second *conn) int { return cmp.Compare(first.lastActivity.Load(), second.lastActivity.Load()) })
+	slices.SortFunc(evictable, func(first, second *conn) int {
+		return cmp.Compare(first.lastActivity.Load(), second.lastActivity.Load())
+	})
 	for _, c := range evictable[:min(int64(len(evictable)), remaining-a.maxConns)] {
 		remaining--
 		a.counts.ClientIdleClosed.Add(1)
--- a/internal/clientside/clientside_test.go
+++ b/internal/clientside/clientside_test.go
@@ -644,7 +644,7 @@
 	for n := range 300 {
 		expect(t, c, fmt.Sprintf("v%d", n))
 	}
-	if len(d.taken) != 300 || maxOpen.Load() > maxPendingCommands+1 { // an op that has ended may still be counted when its reply is written
+	if len(d.taken) != 300 || maxOpen.Load() > maxPendingCommands+1 { // an ended op may still count
 		t.Errorf("got %d ops taken, up to %d at once, want 300 and up to maxPendingCommands+1", len(d.taken), maxOpen.Load())
 	}
 }
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -75,7 +75,7 @@
 func (c *conn) awaitQueueSpace() error {
 	for c.pendingCommands.Load() >= maxPendingCommands {
 		c.mu.Lock()
-		c.readPaused = c.pendingCommands.Load() >= maxPendingCommands // otherwise the writer has already passed and wakes nobody
+		c.readPaused = c.pendingCommands.Load() >= maxPendingCommands // else the writer wakes nobody any more
 		c.net.SetReadDeadline(time.Time{})
 		c.mu.Unlock()
 		gone := c.readPaused && c.awaitClientClose()
@@ -183,7 +183,7 @@
 			graceUsed, c.finalReadDone = true, c.acceptor.stopping.Load()
 			grace := closeGrace
 			if c.evicting.Load() && !c.sentCommand.Load() {
-				grace = time.Millisecond // a connection is evicted after firstBytesWait: a command would have arrived by now
+				grace = time.Millisecond // eviction waits for firstBytesWait: a command would have arrived
 			}
 			c.net.SetReadDeadline(time.Now().Add(grace))
 		}
--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -65,7 +65,7 @@
 		if reusable {
 			c.release() // before the result is reported, as that may lead to the next job
 		} else {
-			netConn.Close() // before the result is reported: the op may then be sent again, and it must never have two open sends
+			netConn.Close() // before the result is reported, as the op may then be sent again and must not have two open sends
 		}
 		p.finish(j, ended)
 		if !reusable {
@@ -138,7 +138,7 @@
 // awaitJob waits for the next job. It returns nil if the connection has to be closed.
 func (c *conn) awaitJob() *job {
 	p := c.pool
-	_, err := c.net.Read(c.readBuffer.Room()) // no response is pending: data or EOF closes the connection, a job ends the read
+	_, err := c.net.Read(c.readBuffer.Room()) // data or EOF closes the connection, a job ends the read
 	p.mu.Lock()
 	j := c.job
 	if j == nil && !c.closing {
--- a/internal/serverside/receive.go
+++ b/internal/serverside/receive.go
@@ -67,7 +67,7 @@
 	default:
 		a.Result = choice.Reset
 	}
-	return exchange.Ended{Result: a.Result, Position: choice.LongPast}, false // nothing else in an incomplete response is trusted
+	return exchange.Ended{Result: a.Result, Position: choice.LongPast}, false // the rest of a broken response is not trusted
 }
 
 // processMessage processes one message of a response. It returns errReady at the end of the response.
