--- a/internal/clientside/answer.go
+++ b/internal/clientside/answer.go
@@ -10,72 +10,78 @@
 	"gorsewell/internal/pgwire"
 )
 
-// reply is what one command is answered with: bytes, or how an op ends. What is said beside commands is one too.
+// reply is queued bytes or the pending result of an op. Most replies answer a command.
 type reply struct {
-	bytes   []byte
-	x       *exchange.Exchange
-	id      string // by which the client knows the op
-	command bool
+	bytes []byte
+	op    *exchange.Exchange
+
+	// opID is the client's id for the op.
+	opID string
+
+	answersCommand bool
 }
 
-func (c *conn) say(bytes []byte) { c.put(reply{bytes: bytes}) }
+// enqueueBytes queues bytes that do not answer a command.
+func (c *conn) enqueueBytes(bytes []byte) { c.enqueue(reply{bytes: bytes}) }
 
-// answers is say for a command.
-func (c *conn) answers(bytes []byte) { c.put(reply{bytes: bytes, command: true}) }
+// enqueueCommandReply queues bytes that answer a command.
+func (c *conn) enqueueCommandReply(bytes []byte) {
+	c.enqueue(reply{bytes: bytes, answersCommand: true})
+}
 
-func (c *conn) put(r reply) {
-	if r.command {
-		c.waiting.Add(1)
+func (c *conn) enqueue(r reply) {
+	if r.answersCommand {
+		c.pendingCommands.Add(1)
 	}
-	c.owed.Add(1)
-	c.queue <- r
+	c.pendingReplies.Add(1)
+	c.replies <- r
 }
 
-// answer writes the replies in order, each with one write. After a write that fails the rest is dropped.
-func (c *conn) answer() error {
+// writeReplies writes the replies in order, each with a single write. After a failed write it drops the rest.
+func (c *conn) writeReplies() error {
 	var failed error
-	for r := range c.queue {
-		if r.x != nil {
-			<-r.x.Done
-			c.front.closed(r.id)
-			r.bytes = final(r.x)
+	for r := range c.replies {
+		if r.op != nil {
+			<-r.op.Done
+			c.acceptor.releaseID(r.opID)
+			r.bytes = finalReply(r.op)
 		}
-		// A client gets as long to take an answer as a server to take a connection, or all that is left of its time.
-		until := c.front.clock.Now() + c.front.told.ConnectTimeout
-		if r.x != nil {
-			until = max(until, r.x.Due)
+		// A client gets as long to read a reply as a server gets to accept a connection, or longer until its op is due.
+		deadline := c.acceptor.clock.Now() + c.acceptor.settings.ConnectTimeout
+		if r.op != nil {
+			deadline = max(deadline, r.op.Due)
 		}
 		if failed == nil && len(r.bytes) > 0 {
-			c.net.SetWriteDeadline(c.front.clock.Time(until))
+			c.net.SetWriteDeadline(c.acceptor.clock.Time(deadline))
 			if _, failed = c.net.Write(r.bytes); failed != nil {
-				c.net.Close() // a value that is not whole must not look whole
+				c.net.Close() // so that the client cannot take a partly written value for a complete one
 			}
 		}
-		c.heard.Store(int64(c.front.clock.Now()))
-		if r.command {
-			c.waiting.Add(-1)
-			c.resume()
+		c.lastActivity.Store(int64(c.acceptor.clock.Now()))
+		if r.answersCommand {
+			c.pendingCommands.Add(-1)
+			c.resumeReading()
 		}
-		owed := c.owed.Add(-1)
-		invariant.Check(owed >= 0, "no more replies are written than are owed")
-		if owed == 0 && (c.ending.Load() || c.front.closing.Load()) {
+		pending := c.pendingReplies.Add(-1)
+		invariant.Check(pending >= 0, "no more replies are written than were queued")
+		if pending == 0 && (c.readingDone.Load() || c.acceptor.stopping.Load()) {
 			c.net.SetReadDeadline(exchange.Past)
 		}
 	}
 	return errors.Join(failed, c.net.SetWriteDeadline(time.Time{}))
 }
 
-// final is the answer to an op that has ended; none where its client has left.
-func final(x *exchange.Exchange) []byte {
-	switch x.Outcome {
+// finalReply returns the reply to an op that has ended, or nil if its client has disconnected.
+func finalReply(op *exchange.Exchange) []byte {
+	switch op.Outcome {
 	case exchange.Acked:
-		return pgwire.AppendReady(x.Answer)
+		return pgwire.AppendReady(op.Answer)
 	case exchange.BusyReplied:
-		hint := ""
-		if x.ComeBackIn > 0 {
-			hint = strconv.FormatInt(x.ComeBackIn.Milliseconds(), 10)
+		retryAfter := ""
+		if op.ComeBackIn > 0 {
+			retryAfter = strconv.FormatInt(op.ComeBackIn.Milliseconds(), 10)
 		}
-		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "53300", "busy, try again", hint))
+		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "53300", "busy, try again", retryAfter))
 	case exchange.Errored:
 		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "08007", "gave up, its effect is unknown", ""))
 	}
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -14,134 +14,136 @@
 	"gorsewell/internal/pgwire"
 )
 
-// queueSize is how many commands of one client may wait for their answers; no more are read until one is answered.
-const queueSize = 16
+// maxPendingCommands is how many commands of one client may wait for their replies. Beyond that, reading pauses until
+// one reply is written.
+const maxPendingCommands = 16
 
-// besides is how many replies there may be that answer no command: encryption declined three times, a welcome, a protest.
-const besides = 5
+// extraReplies is the maximum number of replies that answer no command: three refused encryption requests, one startup
+// reply and one fatal error.
+const extraReplies = 5
 
-// Why a connection is read no longer.
+// The reasons to stop reading from a connection.
 var (
-	errGone      = errors.New("the client has gone")
-	errProtested = errors.New("the client is told that nothing more is taken, and why")
-	errEnds      = errors.New("the connection is to be closed")
+	errClientGone = errors.New("client disconnected")
+	errRejected   = errors.New("request rejected, connection is to be closed")
+	errClosing    = errors.New("connection is to be closed")
 )
 
-// read takes what the client sends until it goes, or is to go.
+// read reads from the client until it disconnects or the connection has to be closed.
 func (c *conn) read() error {
-	c.wait(time.Now().Add(readTimeout))
+	c.setReadDeadline(time.Now().Add(readTimeout))
 	if err := c.startup(); err != nil {
 		return err
 	}
 	for {
-		if err := c.pause(); err != nil {
+		if err := c.awaitQueueSpace(); err != nil {
 			return err
 		}
-		m, err := c.next()
+		m, err := c.readMessage()
 		switch {
 		case err != nil:
-			return c.protest(err)
+			return c.reject(err)
 		case m.Type == pgwire.Terminate:
-			return errGone
-		case m.Type != pgwire.Query: // no other command is spoken here
-			return c.protest(pgwire.ErrMalformed)
+			return errClientGone
+		case m.Type != pgwire.Query: // no other command is supported
+			return c.reject(pgwire.ErrMalformed)
 		}
-		if err := c.query(m.Body); err != nil {
-			return c.protest(err)
+		if err := c.handleQuery(m.Body); err != nil {
+			return c.reject(err)
 		}
 	}
 }
 
-// protest answers bytes that cannot be read with a fatal error; any other reason to end passes through.
-func (c *conn) protest(err error) error {
+// reject sends a fatal error for invalid input and returns errRejected. It returns any other error unchanged.
+func (c *conn) reject(err error) error {
 	code := "08P01"
 	switch err {
 	case pgwire.ErrMalformed, pgwire.ErrVersion:
 	case pgwire.ErrTooLong:
 		code = "54000"
-		c.front.counts.Unusable.Add(1)
+		c.acceptor.counts.Unusable.Add(1)
 	default:
 		return err
 	}
-	c.front.counts.Malformed.Add(1)
-	c.say(pgwire.AppendError(nil, "FATAL", code, err.Error(), ""))
-	return errProtested
+	c.acceptor.counts.Malformed.Add(1)
+	c.enqueueBytes(pgwire.AppendError(nil, "FATAL", code, err.Error(), ""))
+	return errRejected
 }
 
-// pause holds back a client that has as many commands waiting as there may be: nothing is read until one is answered, and its
-// leaving is seen meanwhile. Commands that have been read already are taken afterwards, also at a planned stop.
-func (c *conn) pause() error {
-	for c.waiting.Load() >= queueSize {
+// awaitQueueSpace pauses reading while maxPendingCommands commands wait for their replies. Meanwhile it notices if the
+// client disconnects. Commands that are already in the read buffer are processed afterwards, even during a planned stop.
+func (c *conn) awaitQueueSpace() error {
+	for c.pendingCommands.Load() >= maxPendingCommands {
 		c.mu.Lock()
-		c.paused = c.waiting.Load() >= queueSize // else its answerer has passed by and wakes nobody
+		c.readPaused = c.pendingCommands.Load() >= maxPendingCommands // else the writer wakes nobody any more
 		c.net.SetReadDeadline(time.Time{})
 		c.mu.Unlock()
-		gone := c.paused && c.leaves()
+		gone := c.readPaused && c.awaitClientClose()
 		c.mu.Lock()
-		c.paused = false // from here on no late wake ends another wait
-		c.wait(time.Time{})
+		c.readPaused = false // from here on a late wake-up cannot end another wait
+		c.setReadDeadline(time.Time{})
 		c.mu.Unlock()
 		if gone {
-			return errGone
+			return errClientGone
 		}
 	}
 	return nil
 }
 
-// resume wakes a reader that pauses.
-func (c *conn) resume() {
+// resumeReading wakes a paused reader.
+func (c *conn) resumeReading() {
 	c.mu.Lock()
-	if c.paused {
+	if c.readPaused {
 		c.net.SetReadDeadline(exchange.Past)
 	}
 	c.mu.Unlock()
 }
 
-// startup reads the packet with which a session begins and lets the client in.
+// startup reads startup packets until a session starts, and sends the replies.
 func (c *conn) startup() error {
-	for declined := 0; ; {
-		o, n, err := pgwire.Startup(c.window.Bytes())
-		if declined > 2 { // a client asks for either kind of encryption once
+	for refused := 0; ; {
+		kind, size, err := pgwire.Startup(c.readBuffer.Bytes())
+		if refused > 2 { // a client asks once for each kind of encryption
 			err = pgwire.ErrMalformed
 		}
 		if err != nil {
-			return c.protest(err)
+			return c.reject(err)
 		}
-		c.window.Take(n)
+		c.readBuffer.Take(size)
 		switch {
-		case n == 0:
+		case size == 0:
 			if err := c.fill(); err != nil {
 				return err
 			}
-		case o == pgwire.OpensEncryption:
-			declined++
-			c.say([]byte{'N'}) // there is none: the client goes on in the clear
-		case o == pgwire.OpensCancel:
-			return errProtested
-		case !c.front.findsRoom(c):
-			c.front.counts.ClientRefused.Add(1)
-			c.say(pgwire.AppendError(nil, "FATAL", "53300", "too many connections", ""))
-			return errProtested
+		case kind == pgwire.OpensEncryption:
+			refused++
+			c.enqueueBytes([]byte{'N'}) // encryption is not supported: the client continues without it
+		case kind == pgwire.OpensCancel:
+			return errRejected
+		case !c.acceptor.awaitSessionCapacity(c):
+			c.acceptor.counts.ClientRefused.Add(1)
+			c.enqueueBytes(pgwire.AppendError(nil, "FATAL", "53300", "too many connections", ""))
+			return errRejected
 		default:
-			c.say(pgwire.AppendWelcome(nil))
+			c.enqueueBytes(pgwire.AppendWelcome(nil))
 			return nil
 		}
 	}
 }
 
-// next reads one message, which stays valid until the next call.
-func (c *conn) next() (pgwire.Message, error) {
-	for limited := !c.spoke.Load(); ; {
-		m, ok, err := c.window.Next()
+// readMessage reads one message, which stays valid until the next call.
+func (c *conn) readMessage() (pgwire.Message, error) {
+	for limited := !c.sentCommand.Load(); ; {
+		m, ok, err := c.readBuffer.Next()
 		if ok && limited {
-			c.wait(time.Time{})
+			c.setReadDeadline(time.Time{})
 		}
 		if ok || err != nil {
 			return m, err
 		}
-		if !limited && len(c.window.Bytes()) > 0 { // a message that has begun is to end
+		if !limited && len(c.readBuffer.Bytes()) > 0 { // the rest of an incomplete message has to arrive in time
 			limited = true
-			c.wait(time.Now().Add(readTimeout))
+			c.setReadDeadline(time.Now().Add(readTimeout))
 		}
 		if err := c.fill(); err != nil {
 			return m, err
@@ -149,164 +151,172 @@
 	}
 }
 
-// fill reads more bytes. A read that ends in time is a sign that the connection is to be closed, as all are, or as it has
-// been quiet for too long: then it gives up where the client is owed nothing and no command of it is on its way.
+// fill reads more bytes. A read that times out is a sign that the connection has to be closed, during a planned stop,
+// by eviction or because of the read timeout. Then fill returns errClosing if no reply is pending and no command
+// arrives within a short grace period. If replies are pending it returns errClosing at once during a planned stop, else
+// it goes on reading.
 //
-// At a planned stop it looks once for a command on its way and reads nothing more after that, however busy the connection
-// is: a client that asks again within moments of each answer would else be served on it until the process is killed, and
-// lose what is under way then. What stays unread in the socket makes the end a reset, by which its client knows that it was
-// not taken.
+// During a planned stop it looks for such a command only once and reads nothing more after that, however busy the
+// connection is. Otherwise a client that sends its next command right after each reply would be served on the
+// connection until the process is killed, and its open ops would be lost. Bytes that stay unread in the socket turn the
+// close into a reset, which tells the client that the command was not processed.
 func (c *conn) fill() error {
-	for last := false; ; {
-		n, err := c.net.Read(c.window.Room())
-		c.window.Filled(n)
+	for graceUsed := false; ; {
+		n, err := c.net.Read(c.readBuffer.Room())
+		c.readBuffer.Filled(n)
 		switch {
 		case n > 0:
-			c.heard.Store(int64(c.front.clock.Now()))
-			c.leaving.Store(false)
+			c.lastActivity.Store(int64(c.acceptor.clock.Now()))
+			c.evicting.Store(false)
 			return nil
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			return errGone
-		case c.owed.Load() > 0 && c.front.closing.Load():
-			return errEnds
-		case c.owed.Load() > 0:
-			last = false
-			c.leaving.Store(false)
-			c.wait(time.Time{})
-		case last || c.looked:
-			return errEnds
+			return errClientGone
+		case c.pendingReplies.Load() > 0 && c.acceptor.stopping.Load():
+			return errClosing
+		case c.pendingReplies.Load() > 0:
+			graceUsed = false
+			c.evicting.Store(false)
+			c.setReadDeadline(time.Time{})
+		case graceUsed || c.finalReadDone:
+			return errClosing
 		default:
-			last, c.looked = true, c.front.closing.Load()
-			look := linger
-			if c.leaving.Load() && !c.spoke.Load() {
-				look = time.Millisecond // what it had to say would be here: newcomers do not leave
+			graceUsed, c.finalReadDone = true, c.acceptor.stopping.Load()
+			grace := closeGrace
+			if c.evicting.Load() && !c.sentCommand.Load() {
+				grace = time.Millisecond // eviction waits for firstBytesWait: a command would have arrived
 			}
-			c.net.SetReadDeadline(time.Now().Add(look))
+			c.net.SetReadDeadline(time.Now().Add(grace))
 		}
 	}
 }
 
-// discarded is how much of what follows a protest is thrown away as fast as it comes; of a flood, the rest is slowed down.
-const discarded = 1 << 20
+// maxFastDiscard is how many bytes after rejected input are discarded as fast as they arrive. Beyond that, discarding is
+// slowed down.
+const maxFastDiscard = 1 << 20
 
-// await waits until all that was taken is answered, and tells whether the client leaves before: then what is under way for it
-// must not be sent on. What follows a protest is thrown away, so that its end shows. What comes once a planned stop has looked
-// its last stays unread, by which its client can tell that it was not taken, and the kernel is asked for the end behind it.
-func (c *conn) await(why error) error {
-	c.ending.Store(true) // from here on the answerer ends the wait after the last answer
-	for left := discarded; ; {
-		if c.net.SetReadDeadline(time.Time{}); c.owed.Load() == 0 {
-			return why
+// awaitReplies waits until all pending replies are written and then returns the reason. It returns errClientGone if the
+// client disconnects earlier: its open ops must then not be sent to a server again. Input after rejected input is
+// discarded, so that the end of the stream becomes visible. Input after the last read of a planned stop stays unread,
+// which tells the client that it was not processed, and the kernel is asked whether the client has closed the
+// connection.
+func (c *conn) awaitReplies(reason error) error {
+	c.readingDone.Store(true) // from here on the writer ends the wait after the last reply
+	for fastLeft := maxFastDiscard; ; {
+		if c.net.SetReadDeadline(time.Time{}); c.pendingReplies.Load() == 0 {
+			return reason
 		}
-		if why == errEnds {
-			if c.leaves() {
-				return errGone
+		if reason == errClosing {
+			if c.awaitClientClose() {
+				return errClientGone
 			}
 			continue
 		}
-		n, err := c.net.Read(c.window.Room())
+		n, err := c.net.Read(c.readBuffer.Room())
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			return errGone
+			return errClientGone
 		}
-		if left -= n; left < 0 {
+		if fastLeft -= n; fastLeft < 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// leaves waits, reading nothing, until the client has closed its end, or the read deadline has passed: false.
-func (c *conn) leaves() (gone bool) {
-	raw, err := c.net.SyscallConn()
+// awaitClientClose waits, without reading, until the client closes its end and returns true. It returns false when the
+// read deadline passes.
+func (c *conn) awaitClientClose() (gone bool) {
+	rawConn, err := c.net.SyscallConn()
 	if err != nil {
 		return true
 	}
-	err = raw.Read(func(fd uintptr) bool {
-		gone = closed(fd)
+	err = rawConn.Read(func(fd uintptr) bool {
+		gone = peerClosed(fd)
 		return gone
 	})
 	return gone || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// hasLeft tells whether the client has closed its end, whatever lies unread before that.
-func (c *conn) hasLeft() (gone bool) {
-	raw, err := c.net.SyscallConn()
+// clientClosed reports whether the client has closed its end, even if there are unread bytes before that.
+func (c *conn) clientClosed() (gone bool) {
+	rawConn, err := c.net.SyscallConn()
 	if err != nil {
 		return true
 	}
-	err = raw.Control(func(fd uintptr) { gone = closed(fd) })
+	err = rawConn.Control(func(fd uintptr) { gone = peerClosed(fd) })
 	return gone || err != nil
 }
 
-// closed asks the kernel whether the other end of a socket is closed, or half closed, which counts as leaving too.
-func closed(fd uintptr) bool { return polled(fd, unix.POLLRDHUP) }
+// peerClosed asks the kernel whether the peer of a socket has closed it or shut down its writing side.
+func peerClosed(fd uintptr) bool { return poll(fd, unix.POLLRDHUP) }
 
-// polled asks the kernel whether something has happened at a socket, without waiting.
-func polled(fd uintptr, what int16) bool {
-	look := []unix.PollFd{{Fd: int32(fd), Events: what}}
-	n, err := unix.Poll(look, 0)
+// poll asks the kernel, without waiting, whether any of the events has occurred on a socket.
+func poll(fd uintptr, events int16) bool {
+	fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
+	n, err := unix.Poll(fds, 0)
 	return err == nil && n > 0
 }
 
-// wait lets reads wait until then, and not at all once the connection, or all of them, are to be closed. Who wants that says so
-// first and ends the wait then: whichever of the two comes last, the read ends.
-func (c *conn) wait(until time.Time) {
-	c.net.SetReadDeadline(until)
-	if c.front.closing.Load() || c.leaving.Load() {
+// setReadDeadline sets the deadline of reads, or ends them at once if the connection is being evicted or the acceptor
+// is stopping. Evicting and stopping set their flag first and the deadline second, so whichever of the two calls is
+// last ends the read.
+func (c *conn) setReadDeadline(deadline time.Time) {
+	c.net.SetReadDeadline(deadline)
+	if c.acceptor.stopping.Load() || c.evicting.Load() {
 		c.net.SetReadDeadline(exchange.Past)
 	}
 }
 
-// query takes one command.
-func (c *conn) query(body []byte) error {
+// handleQuery processes one command.
+func (c *conn) handleQuery(body []byte) error {
 	text, err := pgwire.Text(body)
 	if err != nil {
 		return err
 	}
 	if trimmed := bytes.Trim(text, " ;\n\t"); len(trimmed) == 0 {
-		c.spoke.Store(true)
-		c.answers(pgwire.AppendReady(pgwire.AppendMessage(nil, pgwire.EmptyQuery)))
+		c.sentCommand.Store(true)
+		c.enqueueCommandReply(pgwire.AppendReady(pgwire.AppendMessage(nil, pgwire.EmptyQuery)))
 		return nil
 	}
-	s, err := pgwire.Describe(bytes.Clone(text)) // it outlives the buffer: it may be sent again
-	kind, known := c.front.opTypes[string(s.OpType)]
+	s, err := pgwire.Describe(bytes.Clone(text)) // outlives the read buffer, as the op may be sent to a server again
+	opType, known := c.acceptor.opTypes[string(s.OpType)]
 	switch {
 	case err != nil:
-		return c.unusable("42601", "no usable comment")
+		return c.rejectQuery("42601", "no usable comment")
 	case !known:
-		return c.unusable("22023", "unknown op type")
-	case !c.front.opens(string(s.ID)):
-		return c.unusable("42710", "an op of this id is open")
+		return c.rejectQuery("22023", "unknown op type")
+	case !c.acceptor.claimID(string(s.ID)):
+		return c.rejectQuery("42710", "an op of this id is open")
 	}
-	// A command may have waited for long, in the listener's queue or while the process stood still, and its client have left.
-	if c.hasLeft() {
-		c.front.closed(string(s.ID))
-		return errGone
+	// A command may have waited for long, in the listener's queue or while the process was suspended, and its client
+	// may have disconnected in the meantime.
+	if c.clientClosed() {
+		c.acceptor.releaseID(string(s.ID))
+		return errClientGone
 	}
-	c.spoke.Store(true)
-	now := c.front.clock.Now()
-	x := &exchange.Exchange{Statement: s, OpType: kind, Group: s.Group, Session: session(s.Key), Again: s.Again,
-		Due: now + min(s.Remaining, c.front.told.OpTypes[kind].Timeout), Target: c.front.told.OpTypes[kind].Target, After: choice.LongPast, Done: make(chan struct{})}
-	if at, ok := c.front.clock.FromUnix(s.After); ok {
-		x.After = at
+	c.sentCommand.Store(true)
+	now := c.acceptor.clock.Now()
+	op := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), Again: s.Again,
+		Due: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout), Target: c.acceptor.settings.OpTypes[opType].Target, After: choice.LongPast, Done: make(chan struct{})}
+	if position, ok := c.acceptor.clock.FromUnix(s.After); ok {
+		op.After = position
 	}
-	c.open = append(slices.DeleteFunc(c.open, (*exchange.Exchange).Over), x)
-	c.front.desk.Take(x)
-	c.put(reply{x: x, id: string(s.ID), command: true})
+	c.openOps = append(slices.DeleteFunc(c.openOps, (*exchange.Exchange).Over), op)
+	c.acceptor.dispatcher.Take(op)
+	c.enqueue(reply{op: op, opID: string(s.ID), answersCommand: true})
 	return nil
 }
 
-// unusable answers a command that can be read but is no op.
-func (c *conn) unusable(code, what string) error {
-	c.front.counts.Unusable.Add(1)
-	c.answers(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, what, "")))
+// rejectQuery replies to a well-formed command that is not a valid op. The connection stays open.
+func (c *conn) rejectQuery(code, message string) error {
+	c.acceptor.counts.Unusable.Add(1)
+	c.enqueueCommandReply(pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", code, message, "")))
 	return nil
 }
 
-// session is the number of the session that a key names.
-func session(key []byte) uint64 {
-	h := uint64(14695981039346656037)
+// sessionHash returns the number of the session that a key belongs to, the 64-bit FNV-1a hash of the key.
+func sessionHash(key []byte) uint64 {
+	hash := uint64(14695981039346656037)
 	for _, b := range key {
-		h = (h ^ uint64(b)) * 1099511628211
+		hash = (hash ^ uint64(b)) * 1099511628211
 	}
-	return h
+	return hash
 }
--- a/internal/pgwire/window.go
+++ b/internal/pgwire/window.go
@@ -1,57 +1,70 @@
 package pgwire
 
-// Window is the buffer of one connection: bytes are read into its room and taken as messages, which stay
-// valid until the next call of Room.
+// ReadBuffer is the read buffer of one connection. Bytes are read into its free space and removed as messages, which
+// stay valid until the next call of Space.
 type Window struct {
-	Most       int // how long a message may be; MaxMessage where it says less
-	buf        []byte
-	start, end int
+	// MaxMessage is the greatest length of a message in bytes. Values below DefaultMaxMessage have no effect.
+	Most int
+
+	buf []byte
+
+	// start is the offset in buf of the first unread byte.
+	start int
+
+	// end is the offset in buf after the last unread byte.
+	end int
 }
 
 const (
-	windowSize = 4 << 10
-	leastRoom  = 512
+	// bufferSize is the usual size of a buffer in bytes.
+	bufferSize = 4 << 10
+
+	// minSpace is the least free space that a read gets, in bytes.
+	minSpace = 512
 )
 
-// Room returns free space to read into.
-func (w *Window) Room() []byte {
-	if w.start == w.end {
-		w.start, w.end = 0, 0
-		if len(w.buf) > windowSize {
-			w.buf = nil // a rare long message does not keep its space
+// Space returns free space to read into.
+func (b *Window) Room() []byte {
+	if b.start == b.end {
+		b.start, b.end = 0, 0
+		if len(b.buf) > bufferSize {
+			b.buf = nil // free the memory of a rare long message
 		}
 	}
-	if len(w.buf)-w.end < leastRoom {
-		held := w.buf[w.start:w.end]
-		if size := max(windowSize, 2*len(held)); size > len(w.buf) {
-			w.buf = make([]byte, size)
+	if len(b.buf)-b.end < minSpace {
+		unread := b.buf[b.start:b.end]
+		if size := max(bufferSize, 2*len(unread)); size > len(b.buf) {
+			b.buf = make([]byte, size)
 		}
-		w.start, w.end = 0, copy(w.buf, held)
+		b.start, b.end = 0, copy(b.buf, unread)
 	}
-	return w.buf[w.end:]
+	return b.buf[b.end:]
 }
 
-// Filled says that n bytes were read into the room.
-func (w *Window) Filled(n int) { w.end += n }
+// Filled records that n bytes were read into the free space.
+func (b *Window) Filled(n int) { b.end += n }
 
-// Bytes returns what was read and not taken.
-func (w *Window) Bytes() []byte { return w.buf[w.start:w.end] }
+// Bytes returns the bytes that were read and not yet removed.
+func (b *Window) Bytes() []byte { return b.buf[b.start:b.end] }
 
-// Take drops n bytes from the front.
-func (w *Window) Take(n int) { w.start += n }
+// Discard removes n bytes from the front.
+func (b *Window) Take(n int) { b.start += n }
 
-// Next takes the next message, if all of it has been read.
-func (w *Window) Next() (m Message, ok bool, err error) { return w.take(Next(w.Bytes(), w.Longest())) }
+// Next removes and returns the next message if all of it has been read.
+func (b *Window) Next() (m Message, ok bool, err error) {
+	return b.consume(Next(b.Bytes(), b.Longest()))
+}
 
-// NextAnswer does so for what a server sends.
-func (w *Window) NextAnswer() (m Message, ok bool, err error) {
-	return w.take(NextAnswer(w.Bytes(), w.Longest()))
+// NextServerMessage is like Next for messages from a server.
+func (b *Window) NextAnswer() (m Message, ok bool, err error) {
+	return b.consume(NextAnswer(b.Bytes(), b.Longest()))
 }
 
-// Longest is how long a message may be.
-func (w *Window) Longest() int { return max(w.Most, MaxMessage) }
+// MessageLimit returns the greatest length of a message in bytes.
+func (b *Window) Longest() int { return max(b.Most, MaxMessage) }
 
-func (w *Window) take(m Message, n int, err error) (Message, bool, error) {
-	w.start += n
+// consume removes n bytes and passes on the result of a parser. A message was complete if n is greater than 0.
+func (b *Window) consume(m Message, n int, err error) (Message, bool, error) {
+	b.start += n
 	return m, n > 0, err
 }
--- a/internal/serverside/pool.go
+++ b/internal/serverside/pool.go
@@ -1,5 +1,5 @@
-// Package serverside carries sends and probes to the database servers and brings back how they ended. Its
-// files follow a send: pool (finds a connection), connect, send, receive.
+// Package serverside executes sends and probes on the database servers and reports their results. Its files follow
+// the path of a send: pool (finds a connection), connect, send, receive.
 package serverside
 
 import (
@@ -19,53 +19,82 @@
 	"gorsewell/internal/invariant"
 )
 
-// Pool holds the connections to all servers. A connection carries one send at a time and belongs to one
-// goroutine, which also watches it while it is idle.
+// Pool holds the connections to all servers. A connection executes one job at a time and has its own goroutine, which
+// also watches it while it is idle.
 type Pool struct {
 	clock    exchange.Clock
 	events   exchange.Events
 	counts   *counters.Set
-	told     *deployment.Told
+	settings *deployment.Told
 	maxConns int
 
-	settling time.Duration // how long a connection rests after an answer
+	// quietPeriod is the constant of this name, except in tests.
+	quietPeriod time.Duration
 
-	ctx    context.Context
-	group  *errgroup.Group
-	mu     sync.Mutex // guards all below and the jobs' and connections' fields that say so
-	addrs  map[uint32]string
-	idle   map[uint32][]*conn // the one used last comes last
-	out    map[*exchange.Exchange]*job
-	probes map[uint32]*job // that are out, by server
-	open   int
+	ctx   context.Context
+	group *errgroup.Group
+
+	// mu guards all fields below and those fields of jobs and connections that say so.
+	mu sync.Mutex
+
+	// addrs holds the address of each server.
+	addrs map[uint32]string
+
+	// idle holds the idle connections to each server, the most recently used one last.
+	idle map[uint32][]*conn
+
+	// sends holds the open send of each op.
+	sends map[*exchange.Exchange]*job
+
+	// probes holds the open probe of each server.
+	probes map[uint32]*job
+
+	// openConns is the number of connections that are open or being opened.
+	openConns int
+
+	// closed is true once no connection may become idle any more.
 	closed bool
 }
 
-// job is one send, or one probe where x is nil.
+// job is a send, or a probe if op is nil.
 type job struct {
-	x      *exchange.Exchange
+	op *exchange.Exchange
+
+	// number is the number of the send among the sends of its op.
 	number uint8
-	server uint32
-	sentAt time.Duration
-	by     time.Duration // it begins before that or not at all
-	due    time.Duration // its answer comes before that or not at all
 
-	// Guarded by the pool's mutex:
-	begun     bool // from here on bytes of it are written: up to then it can be withdrawn, as it has never run
+	server      uint32
+	submittedAt time.Duration
+
+	// startBy is the time before which the job has to start. Otherwise it is not executed.
+	startBy time.Duration
+
+	// deadline is the time before which the response has to arrive.
+	deadline time.Duration
+
+	// started is true once the job's query is being written. Until then the job can be withdrawn and is known not to
+	// have run. It is guarded by the pool's mutex.
+	started bool
+
+	// cancelled is guarded by the pool's mutex.
 	cancelled bool
-	conn      *conn              // that carries it, or nil
-	stop      context.CancelFunc // ends its connecting
+
+	// conn is the connection of the job, or nil. It is guarded by the pool's mutex.
+	conn *conn
+
+	// cancelConnect cancels the opening of a connection. It is guarded by the pool's mutex.
+	cancelConnect context.CancelFunc
 }
 
-// New makes a pool for at most maxConns connections. Wait must be called in the end.
+// New returns a pool of at most maxConns connections. The caller has to call Wait at the end.
 func New(ctx context.Context, clock exchange.Clock, events exchange.Events, counts *counters.Set,
-	told *deployment.Told, maxConns int) *Pool {
+	settings *deployment.Told, maxConns int) *Pool {
 	group, ctx := errgroup.WithContext(ctx)
-	return &Pool{clock: clock, events: events, counts: counts, told: told, maxConns: maxConns, settling: settling, ctx: ctx, group: group,
-		addrs: map[uint32]string{}, idle: map[uint32][]*conn{}, out: map[*exchange.Exchange]*job{}, probes: map[uint32]*job{}}
+	return &Pool{clock: clock, events: events, counts: counts, settings: settings, maxConns: maxConns, quietPeriod: quietPeriod, ctx: ctx, group: group,
+		addrs: map[uint32]string{}, idle: map[uint32][]*conn{}, sends: map[*exchange.Exchange]*job{}, probes: map[uint32]*job{}}
 }
 
-// Wait closes all connections once the pool's context has ended, and returns when their goroutines have.
+// Wait waits for the end of the pool's context, closes all connections and returns when their goroutines have returned.
 func (p *Pool) Wait() error {
 	<-p.ctx.Done()
 	p.mu.Lock()
@@ -73,14 +102,14 @@
 	for server := range p.idle {
 		p.closeIdle(server)
 	}
-	for _, j := range p.out {
+	for _, j := range p.sends {
 		p.cancel(j)
 	}
 	p.mu.Unlock()
 	return p.group.Wait()
 }
 
-// Locate tells where servers are. Connections to where they were before are not used again.
+// Locate sets the addresses of servers. Idle connections to a previous address are closed.
 func (p *Pool) Locate(addrs map[uint32]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +121,7 @@
 	}
 }
 
-// Forget drops what is kept of a server.
+// Forget removes the address of a server and closes the idle connections to it.
 func (p *Pool) Forget(server uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -100,169 +129,174 @@
 	delete(p.addrs, server)
 }
 
-// Send starts a send, of which SendEnded tells the result. Where it has not begun by the time given, it never ran.
-func (p *Pool) Send(x *exchange.Exchange, number uint8, server uint32, by time.Duration) {
-	p.start(&job{x: x, number: number, server: server, by: min(by, x.Due), due: x.Due})
+// Send submits a send. SendEnded reports its result. A send that has not started at the time startBy is never executed.
+func (p *Pool) Send(op *exchange.Exchange, number uint8, server uint32, startBy time.Duration) {
+	p.submit(&job{op: op, number: number, server: server, startBy: min(startBy, op.Due), deadline: op.Due})
 }
 
-// Probe starts a probe, of which ProbeEnded tells the result.
+// Probe submits a probe. ProbeEnded reports its result.
 func (p *Pool) Probe(server uint32) {
 	p.counts.Probes.Add(1)
-	due := p.clock.Now() + p.told.ConnectTimeout
-	p.start(&job{server: server, by: due, due: due})
+	deadline := p.clock.Now() + p.settings.ConnectTimeout
+	p.submit(&job{server: server, startBy: deadline, deadline: deadline})
 }
 
-func (p *Pool) start(j *job) {
-	j.sentAt = p.clock.Now()
+func (p *Pool) submit(j *job) {
+	j.submittedAt = p.clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if j.x != nil {
-		invariant.Check(p.out[j.x] == nil, "one send at a time is out for an op")
-		p.out[j.x] = j
+	if j.op != nil {
+		invariant.Check(p.sends[j.op] == nil, "an op has at most one open send")
+		p.sends[j.op] = j
 	} else {
 		p.probes[j.server] = j
 	}
-	p.place(j)
+	p.assign(j)
 }
 
-// place gives the job an idle connection or a new one. The mutex is held.
-func (p *Pool) place(j *job) {
-	if c := p.rested(j.server); c != nil {
+// assign hands the job to an idle connection or opens a new one for it. The caller holds the mutex.
+func (p *Pool) assign(j *job) {
+	if c := p.takeIdle(j.server); c != nil {
 		p.counts.ServerReused.Add(1)
 		c.job, j.conn = j, c
-		c.net.SetReadDeadline(exchange.Past) // ends the watch of the idle connection
+		c.net.SetReadDeadline(exchange.Past) // wakes the goroutine that watches the idle connection
 		return
 	}
-	ctx, stop := context.WithDeadline(p.ctx, p.clock.Time(min(j.sentAt+p.told.ConnectTimeout, j.by)))
-	j.stop = stop
+	ctx, cancel := context.WithDeadline(p.ctx, p.clock.Time(min(j.submittedAt+p.settings.ConnectTimeout, j.startBy)))
+	j.cancelConnect = cancel
 	addr := p.addrs[j.server]
-	opens := addr != "" && (p.open < p.maxConns || p.makeRoom())
-	if opens {
-		p.open++
+	canConnect := addr != "" && (p.openConns < p.maxConns || p.evictIdle())
+	if canConnect {
+		p.openConns++
 		p.counts.ServerOpen.Add(1)
 	}
-	// A goroutine even where none opens: the result must not come before this call has returned.
+	// A goroutine is used even if no connection can be opened: the result must not be reported before this call has
+	// returned.
 	p.group.Go(func() error {
-		defer stop()
-		if !opens {
-			p.end(j, exchange.Ended{Result: choice.NotSent, Position: choice.LongPast})
+		defer cancel()
+		if !canConnect {
+			p.finish(j, exchange.Ended{Result: choice.NotSent, Position: choice.LongPast})
 			return nil
 		}
 		p.connect(ctx, j, addr)
 		p.mu.Lock()
-		p.open--
+		p.openConns--
 		p.mu.Unlock()
 		p.counts.ServerOpen.Add(-1)
 		return nil
 	})
 }
 
-// rested takes an idle connection to a server, if there is one: of those that have settled the one used last, else the one
-// that will be the first to settle. The mutex is held.
-func (p *Pool) rested(server uint32) *conn {
-	list := p.idle[server]
-	if len(list) == 0 {
+// takeIdle removes and returns an idle connection to the server, or returns nil if there is none. It prefers the most
+// recently used connection whose quiet period is over, else the one whose quiet period ends first. The caller holds the
+// mutex.
+func (p *Pool) takeIdle(server uint32) *conn {
+	idle := p.idle[server]
+	if len(idle) == 0 {
 		return nil
 	}
-	settled := p.clock.Now() - p.settling
-	i := max(0, sort.Search(len(list), func(i int) bool { return list[i].freed > settled })-1)
-	c := list[i]
-	p.take(server, i)
+	quietSince := p.clock.Now() - p.quietPeriod
+	i := max(0, sort.Search(len(idle), func(i int) bool { return idle[i].releasedAt > quietSince })-1)
+	c := idle[i]
+	p.removeIdleAt(server, i)
 	return c
 }
 
-// take takes a connection out of the idle ones. The mutex is held.
-func (p *Pool) take(server uint32, i int) {
-	if list := slices.Delete(p.idle[server], i, i+1); len(list) > 0 {
-		p.idle[server] = list
+// removeIdleAt removes the connection at index i from the idle list of the server. The caller holds the mutex.
+func (p *Pool) removeIdleAt(server uint32, i int) {
+	if idle := slices.Delete(p.idle[server], i, i+1); len(idle) > 0 {
+		p.idle[server] = idle
 	} else {
 		delete(p.idle, server)
 	}
 }
 
-// makeRoom closes an idle connection, if there is one. The mutex is held.
-func (p *Pool) makeRoom() bool {
-	for server, list := range p.idle {
-		c := list[0]
-		p.take(server, 0)
-		c.quit()
+// evictIdle closes an idle connection and returns false if there is none. The caller holds the mutex.
+func (p *Pool) evictIdle() bool {
+	for server, idle := range p.idle {
+		c := idle[0]
+		p.removeIdleAt(server, 0)
+		c.shutdown()
 		return true
 	}
 	return false
 }
 
-// Cancel gives up a send. Its result follows all the same.
-func (p *Pool) Cancel(x *exchange.Exchange, number uint8) {
+// Cancel cancels a send. Its result is still reported.
+func (p *Pool) Cancel(op *exchange.Exchange, number uint8) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if j := p.out[x]; j != nil && j.number == number {
+	if j := p.sends[op]; j != nil && j.number == number {
 		p.cancel(j)
 	}
 }
 
-// Withdraw gives up what is to go to a server and has not begun. Between the decision to send and the first byte a connection
-// may have to come up: by then the server may have been announced as leaving.
+// Withdraw cancels the jobs for a server that have not started. A connection may have to be opened between the decision
+// to send and the first byte, and in the meantime the server may have been announced as leaving.
 func (p *Pool) Withdraw(server uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if j := p.probes[server]; j != nil && !j.begun {
+	if j := p.probes[server]; j != nil && !j.started {
 		p.cancel(j)
 	}
-	for _, j := range p.out {
-		if j.server == server && !j.begun {
+	for _, j := range p.sends {
+		if j.server == server && !j.started {
 			p.cancel(j)
 		}
 	}
 }
 
+// cancel ends the I/O of the job. The caller holds the mutex.
 func (p *Pool) cancel(j *job) {
 	j.cancelled = true
 	if j.conn != nil {
 		j.conn.net.SetDeadline(exchange.Past)
 	} else {
-		j.stop()
+		j.cancelConnect()
 	}
 }
 
-// CloseIdle closes the connections to a server that are not in use.
+// CloseIdle closes the idle connections to a server.
 func (p *Pool) CloseIdle(server uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeIdle(server)
 }
 
+// closeIdle is CloseIdle for a caller that holds the mutex.
 func (p *Pool) closeIdle(server uint32) {
 	for _, c := range p.idle[server] {
-		c.quit()
+		c.shutdown()
 	}
 	delete(p.idle, server)
 }
 
-// end tells the one result of a job.
-func (p *Pool) end(j *job, e exchange.Ended) {
-	e.Took = p.clock.Now() - j.sentAt
+// finish reports the result of a job. It is called exactly once for each job.
+func (p *Pool) finish(j *job, ended exchange.Ended) {
+	ended.Took = p.clock.Now() - j.submittedAt
 	p.mu.Lock()
 	switch {
-	case j.cancelled && !j.begun:
-		e.Result = choice.NotSent
-	case j.cancelled && e.Result != choice.Acked:
-		e.Result = choice.Cancelled
+	case j.cancelled && !j.started:
+		ended.Result = choice.NotSent
+	case j.cancelled && ended.Result != choice.Acked:
+		ended.Result = choice.Cancelled
 	}
-	if j.x != nil {
-		delete(p.out, j.x)
+	if j.op != nil {
+		delete(p.sends, j.op)
 	} else if p.probes[j.server] == j {
 		delete(p.probes, j.server)
 	}
 	p.mu.Unlock()
-	if j.x != nil {
-		p.counts.SendEnds[e.Result].Add(1)
-		p.events.SendEnded(j.x, j.number, j.server, e)
+	if j.op != nil {
+		p.counts.SendEnds[ended.Result].Add(1)
+		p.events.SendEnded(j.op, j.number, j.server, ended)
 		return
 	}
-	if e.Result == choice.Acked {
+	if ended.Result == choice.Acked {
 		p.counts.ProbesAcked.Add(1)
 	}
-	p.events.ProbeEnded(j.server, e)
+	p.events.ProbeEnded(j.server, ended)
 }
 
+// dialer disables TCP keep-alive.
 var dialer = net.Dialer{KeepAlive: -1}
