--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -7,14 +7,13 @@
 
 // probe is a ping that is out.
 type probe struct {
-	m        *member
-	number   uint32
-	began    time.Duration
-	helpAt   time.Duration // when others are asked, 0 once they have been
-	end      time.Duration
-	asked    int // helpers
-	nacks    int // of them that are there but have not heard from the member either
-	answered bool
+	m      *member
+	number uint32
+	began  time.Duration
+	helpAt time.Duration // when others are asked, 0 once they have been
+	end    time.Duration
+	asked  int // helpers
+	nacks  int // of them that are there but have not heard from the member either
 }
 
 func (p *probe) due() time.Duration {
--- a/internal/gossip/sim_test.go
+++ b/internal/gossip/sim_test.go
@@ -199,13 +199,6 @@
 	return all
 }
 
-func (l *land) died() (sum int64) {
-	for _, h := range l.nodes {
-		sum += h.counts.Died
-	}
-	return sum
-}
-
 // know counts who is told of a server.
 func (l *land) know(server uint64) (count int) {
 	for _, h := range l.nodes {
