--- a/internal/gossip/credit.go
+++ b/internal/gossip/credit.go
@@ -24,23 +24,23 @@
 
 // credit is the weight of a member's word on servers at this instance, from 0 to 1.
 func (m *member) credit(now time.Duration) float64 {
-	for0, against := fade(m.borne, now-m.creditAt, fadeTime), fade(m.contradicted, now-m.creditAt, fadeTime)
+	for0, against := fade(m.confirmed, now-m.creditUpdatedAt, fadeTime), fade(m.contradicted, now-m.creditUpdatedAt, fadeTime)
 	return (priorFor + for0) / (priorFor + priorAgainst + for0 + contradiction*against)
 }
 
-func (m *member) faded(now time.Duration) {
-	m.borne, m.contradicted = fade(m.borne, now-m.creditAt, fadeTime), fade(m.contradicted, now-m.creditAt, fadeTime)
-	m.creditAt = now
+func (m *member) decayCredit(now time.Duration) {
+	m.confirmed, m.contradicted = fade(m.confirmed, now-m.creditUpdatedAt, fadeTime), fade(m.contradicted, now-m.creditUpdatedAt, fadeTime)
+	m.creditUpdatedAt = now
 }
 
-// credited notes that this instance has seen what a member said.
-func (m *member) credited(now time.Duration, by float64) {
-	m.faded(now)
-	m.borne = min(mostCredit, m.borne+by)
+// addConfirmed notes that this instance has seen what a member said.
+func (m *member) addConfirmed(now time.Duration, by float64) {
+	m.decayCredit(now)
+	m.confirmed = min(mostCredit, m.confirmed+by)
 }
 
-// against notes that this instance has seen otherwise.
-func (m *member) against(now time.Duration, by float64) {
-	m.faded(now)
+// addContradicted notes that this instance has seen otherwise.
+func (m *member) addContradicted(now time.Duration, by float64) {
+	m.decayCredit(now)
 	m.contradicted += by
 }
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -63,62 +63,62 @@
 
 // Node is one instance's part in the gossip.
 type Node struct {
-	host Host
-	set  Setup
-	rng  *rand.Rand
-
-	own         Claim // what is said of itself; its incarnation is its newest
-	joined      bool  // it knows of no earlier run of its own that others still hold
-	quiet       bool  // another run holds its name, or it has left
-	joinAt      time.Duration
-	joinWait    time.Duration
-	seen        map[netip.Addr]map[string]bool // who sees us at which address
-	counter     uint32                         // of probes
-	doubt       int                            // in itself, 0 to mostDoubt
-	timedAt     time.Duration
-	refutedAt   time.Duration
-	wakeAt      time.Duration
-	nextProbe   time.Duration
-	nextTell    time.Duration
-	nextSync    time.Duration
-	nextSweep   time.Duration
-	spent       float64 // bytes beyond what time has paid for
-	spentAt     time.Duration
-	members     []*member // in the order in which they came; the order of probing is shuffled from it
-	byName      map[string]*member
-	byKey       map[KeyID]*member
-	turns       []*member // yet to be probed in this turn
-	probes      []*probe  // out
-	checks      []*member // to be probed soon
-	helping     []*errand
-	news        []*item // to be told
-	table       table   // of rumours
-	lastNumber  uint32  // of its own rumours
-	servers     int     // that the module knows of
-	rumoured    map[uint64]*server
-	serverOrder []*server
-	counts      Counts
+	host   Host
+	config Setup
+	rng    *rand.Rand
+
+	own              Claim // what is said of itself; its incarnation is its newest
+	joined           bool  // it knows of no earlier run of its own that others still hold
+	inactive         bool  // another run holds its name, or it has left
+	joinAt           time.Duration
+	joinBackoff      time.Duration
+	observedAddrs    map[netip.Addr]map[string]bool // who sees us at which address
+	lastProbeNumber  uint32                         // of probes
+	healthScore      int                            // in itself, 0 to mostDoubt
+	lastActiveAt     time.Duration
+	refutedAt        time.Duration
+	wakeAt           time.Duration
+	nextProbe        time.Duration
+	nextTell         time.Duration
+	nextSync         time.Duration
+	nextSweep        time.Duration
+	budgetUsed       float64 // bytes beyond what time has paid for
+	budgetUpdatedAt  time.Duration
+	members          []*member // in the order in which they came; the order of probing is shuffled from it
+	byName           map[string]*member
+	byKey            map[KeyID]*member
+	probeOrder       []*member // yet to be probed in this turn
+	probes           []*probe  // out
+	checks           []*member // to be probed soon
+	relayedPings     []*errand
+	updates          []*item // to be told
+	rumours          table   // of rumours
+	lastRumourNumber uint32  // of its own rumours
+	serverCount      int     // that the module knows of
+	serversByID      map[uint64]*server
+	serverOrder      []*server
+	counts           Counts
 }
 
 // New makes a node. Start begins its work.
 func New(h Host, s Setup) *Node {
-	n := &Node{host: h, set: s, rng: rand.New(rand.NewPCG(s.Seed, s.Run)), byName: map[string]*member{}, byKey: map[KeyID]*member{},
-		rumoured: map[uint64]*server{}, seen: map[netip.Addr]map[string]bool{}}
-	n.table.byObserver = map[string][]*entry{}
+	n := &Node{host: h, config: s, rng: rand.New(rand.NewPCG(s.Seed, s.Run)), byName: map[string]*member{}, byKey: map[KeyID]*member{},
+		serversByID: map[uint64]*server{}, observedAddrs: map[netip.Addr]map[string]bool{}}
+	n.rumours.byObserver = map[string][]*entry{}
 	n.own = Claim{Kind: Alive, Name: s.Name, By: s.Name, Key: s.Key, Run: s.Run, Incarnation: 1, Addr: s.Addr}
 	return n
 }
 
 // Start begins: seeds are asked for what they know.
 func (n *Node) Start(now time.Duration) {
-	n.timedAt, n.spentAt = now, now
-	n.joinWait = n.set.ProbeEvery
-	n.nextProbe = now + n.jitter(n.set.ProbeEvery)
-	n.nextTell = now + n.jitter(n.set.TellEvery)
-	n.nextSync = now + n.set.SyncEvery/2 + n.jitter(n.set.SyncEvery/2)
-	n.nextSweep = now + n.jitter(n.set.ProbeEvery)
+	n.lastActiveAt, n.budgetUpdatedAt = now, now
+	n.joinBackoff = n.config.ProbeEvery
+	n.nextProbe = now + n.jitter(n.config.ProbeEvery)
+	n.nextTell = now + n.jitter(n.config.TellEvery)
+	n.nextSync = now + n.config.SyncEvery/2 + n.jitter(n.config.SyncEvery/2)
+	n.nextSweep = now + n.jitter(n.config.ProbeEvery)
 	n.joinAt = now
-	n.joined = len(n.set.Seeds) == 0
+	n.joined = len(n.config.Seeds) == 0
 	n.Timer(now)
 }
 
@@ -131,44 +131,44 @@
 
 // Timer is called when the time has come that Wake asked for; calls at other times do no harm.
 func (n *Node) Timer(now time.Duration) {
-	n.mind(now)
+	n.detectPause(now)
 	if !n.joined && now >= n.joinAt {
 		n.join(now)
 	}
-	n.timeOuts(now)
+	n.processTimeouts(now)
 	if now >= n.nextProbe {
-		n.round(now)
+		n.probeRound(now)
 	}
 	if now >= n.nextSync {
-		n.nextSync = now + n.set.SyncEvery/2 + n.jitter(n.set.SyncEvery)
-		n.syncWithOne(now)
+		n.nextSync = now + n.config.SyncEvery/2 + n.jitter(n.config.SyncEvery)
+		n.syncWithRandomMember(now)
 	}
 	if now >= n.nextSweep {
-		n.nextSweep = now + n.set.ProbeEvery/holdOff
+		n.nextSweep = now + n.config.ProbeEvery/holdOff
 		n.sweep(now)
 	}
 	if now >= n.nextTell {
-		n.tell(now)
+		n.sendUpdates(now)
 	}
-	n.timedAt = now
-	n.plan(now)
+	n.lastActiveAt = now
+	n.scheduleWake(now)
 }
 
-// plan asks to be woken when the next thing is due.
-func (n *Node) plan(now time.Duration) {
+// scheduleWake asks to be woken when the next thing is due.
+func (n *Node) scheduleWake(now time.Duration) {
 	at := min(n.nextProbe, n.nextSync, n.nextSweep)
 	if !n.joined {
 		at = min(at, n.joinAt)
 	}
-	if len(n.news) > 0 {
+	if len(n.updates) > 0 {
 		at = min(at, n.nextTell)
 	}
 	for _, p := range n.probes {
-		at = min(at, p.due())
+		at = min(at, p.nextEventAt())
 	}
-	for _, e := range n.helping {
+	for _, e := range n.relayedPings {
 		if e.nacked {
-			at = min(at, e.end)
+			at = min(at, e.deadline)
 		} else {
 			at = min(at, e.nackAt)
 		}
@@ -178,61 +178,61 @@
 	n.host.Wake(at)
 }
 
-// sooner asks to be woken at a time unless that will happen before.
-func (n *Node) sooner(at time.Duration) {
+// wakeBy asks to be woken at a time unless that will happen before.
+func (n *Node) wakeBy(at time.Duration) {
 	if at < n.wakeAt {
 		n.wakeAt = at
 		n.host.Wake(at)
 	}
 }
 
-// mind notices that the node itself stood still: then nobody else is to blame for what did not come, and what others
+// detectPause notices that the node itself stood still: then nobody else is to blame for what did not come, and what others
 // heard of it in the meantime is for it to put right.
-func (n *Node) mind(now time.Duration) {
-	gap := now - n.timedAt
+func (n *Node) detectPause(now time.Duration) {
+	gap := now - n.lastActiveAt
 	if n.wakeAt > 0 {
-		gap = now - max(n.timedAt, n.wakeAt)
+		gap = now - max(n.lastActiveAt, n.wakeAt)
 	}
-	if gap < max(n.set.ProbeTimeout, n.set.ProbeEvery/2) {
+	if gap < max(n.config.ProbeTimeout, n.config.ProbeEvery/2) {
 		return
 	}
 	n.counts.Paused++
-	n.doubt = min(mostDoubt, n.doubt+2)
-	n.probes, n.helping = nil, nil
+	n.healthScore = min(mostDoubt, n.healthScore+2)
+	n.probes, n.relayedPings = nil, nil
 	for _, m := range n.members {
 		if m.state == suspect {
-			m.suspectTill += gap
+			m.suspectUntil += gap
 		}
 	}
-	n.timedAt = now
+	n.lastActiveAt = now
 }
 
-// doubts makes the node slower to judge, or faster again: who sees many fail is likely to be the one in trouble.
-func (n *Node) doubts(by int) { n.doubt = max(0, min(mostDoubt, n.doubt+by)) }
+// adjustHealthScore makes the node slower to judge, or faster again: who sees many fail is likely to be the one in trouble.
+func (n *Node) adjustHealthScore(by int) { n.healthScore = max(0, min(mostDoubt, n.healthScore+by)) }
 
 // scaled is a time that grows with the node's doubt in itself.
-func (n *Node) scaled(d time.Duration) time.Duration { return d * time.Duration(1+n.doubt) }
+func (n *Node) scaled(d time.Duration) time.Duration { return d * time.Duration(1+n.healthScore) }
 
 // Leave tells some members that this instance ends by plan, and falls silent.
 func (n *Node) Leave(now time.Duration) {
-	if n.quiet {
+	if n.inactive {
 		return
 	}
 	n.own.Kind = Left
 	n.own.Incarnation++
 	n.own.Clock = now
-	for _, m := range n.some(2*n.set.DatagramsPerTell, func(m *member) bool { return m.state == alive }) {
+	for _, m := range n.randomMembers(2*n.config.DatagramsPerTell, func(m *member) bool { return m.state == alive }) {
 		n.send(now, m, &Message{Kind: Tell, Claims: []Claim{n.own}})
 	}
-	n.quiet = true
+	n.inactive = true
 }
 
 // Rekey goes on under another key, whose certificate bears the same name.
 func (n *Node) Rekey(now time.Duration, key KeyID) {
 	n.own.Key = key
-	n.assert(now)
+	n.bumpIncarnation(now)
 	for _, s := range n.serverOrder {
-		s.own.told = false // what the old key has signed ends with that key
+		s.own.announced = false // what the old key has signed ends with that key
 	}
 }
 
@@ -240,32 +240,32 @@
 func (n *Node) Expelled(now time.Duration, key KeyID) {
 	if m := n.byKey[key]; m != nil {
 		n.counts.Expelled++
-		n.gone(now, m, left)
-		n.drop(m)
+		n.markGone(now, m, left)
+		n.removeMember(m)
 	}
 }
 
 // Reseed tells where seeds are now.
 func (n *Node) Reseed(now time.Duration, seeds []netip.AddrPort) {
-	n.set.Seeds = seeds
+	n.config.Seeds = seeds
 	if !n.joined {
-		n.sooner(n.joinAt)
+		n.wakeBy(n.joinAt)
 	}
 }
 
 // Weight is how many others, weighed, now say that a server is in trouble.
 func (n *Node) Weight(now time.Duration, server uint64) float64 {
-	if s := n.rumoured[server]; s != nil {
+	if s := n.serversByID[server]; s != nil {
 		return s.weight
 	}
 	return 0
 }
 
 // Servers tells how many servers the module knows of: whoever finds most of them in trouble keeps that to itself.
-func (n *Node) Servers(now time.Duration, count int) { n.servers = count }
+func (n *Node) Servers(now time.Duration, count int) { n.serverCount = count }
 
-// some draws up to count distinct members that fit.
-func (n *Node) some(count int, fits func(*member) bool) (drawn []*member) {
+// randomMembers draws up to count distinct members that fit.
+func (n *Node) randomMembers(count int, fits func(*member) bool) (drawn []*member) {
 	if len(n.members) == 0 {
 		return nil
 	}
@@ -312,7 +312,7 @@
 // Counts gives a copy of the counters.
 func (n *Node) Counts() Counts {
 	c := n.counts
-	c.RumoursHeld = int64(n.table.size)
+	c.RumoursHeld = int64(n.rumours.size)
 	return c
 }
 
@@ -340,7 +340,7 @@
 func (n *Node) Peers() []Peer {
 	all := make([]Peer, len(n.members))
 	for i, m := range n.members {
-		all[i] = Peer{m.name, m.key, m.addr, Standing(m.state), m.credit(n.timedAt)}
+		all[i] = Peer{m.name, m.key, m.addr, Standing(m.state), m.credit(n.lastActiveAt)}
 	}
 	return all
 }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -18,36 +18,36 @@
 
 // member is another instance.
 type member struct {
-	name     string
-	hash     uint64
-	key      KeyID
-	run      uint64
-	addr     netip.AddrPort
-	claim    Claim // the newest of itself, to be passed on
-	state    state
-	since    time.Duration // of the state
-	heardAt  time.Duration // when it last proved to be there, to this instance
-	knowsUs  bool          // it has sent us something, so it need not be told who we are
-	ahead    time.Duration // its clock less ours, at least
-	clocked  bool          // ahead is known from a datagram of its own
-	seen     window        // of its datagrams in this run
-	failed   int           // own probes in a row that it did not answer
-	checking bool          // it stands in checks
-	deadAt   time.Duration // when a dead one is tried again
-	revived  time.Duration // when it was last told that it had been held dead
-	toldAt   time.Duration // when a run that is not the one held was last told so
+	name               string
+	hash               uint64
+	key                KeyID
+	run                uint64
+	addr               netip.AddrPort
+	claim              Claim // the newest of itself, to be passed on
+	state              state
+	since              time.Duration // of the state
+	lastHeardAt        time.Duration // when it last proved to be there, to this instance
+	knowsUs            bool          // it has sent us something, so it need not be told who we are
+	clockOffset        time.Duration // its clock less ours, at least
+	clockKnown         bool          // ahead is known from a datagram of its own
+	received           window        // of its datagrams in this run
+	failedProbes       int           // own probes in a row that it did not answer
+	checkQueued        bool          // it stands in checks
+	retryAt            time.Duration // when a dead one is tried again
+	revivalNotifiedAt  time.Duration // when it was last told that it had been held dead
+	staleRunNotifiedAt time.Duration // when a run that is not the one held was last told so
 
-	suspectTill time.Duration
-	accusedBy   []accuser
+	suspectUntil time.Duration
+	accusedBy    []accuser
 
 	// Its word on servers, as far as this instance could see for itself; both fade.
-	borne, contradicted float64
-	creditAt            time.Duration
-	said                float64 // rumours of it that were taken of late
-	saidAt              time.Duration
+	confirmed, contradicted float64
+	creditUpdatedAt         time.Duration
+	rumourLevel             float64 // rumours of it that were taken of late
+	rumourLevelAt           time.Duration
 	// Its word on members.
-	falseWord   float64
-	falseWordAt time.Duration
+	falseAccusations   float64
+	falseAccusationsAt time.Duration
 }
 
 type accuser struct {
@@ -82,17 +82,17 @@
 }
 
 // clock is at least what a member's own clock shows now.
-func (m *member) clock(now time.Duration) time.Duration { return now + m.ahead }
+func (m *member) clock(now time.Duration) time.Duration { return now + m.clockOffset }
 
 // Received takes a datagram. What does not come from a known run of a member, or has come before, is dropped before it can
 // change anything; a claim of the sender's own that is newer comes first, as it may tell of that run.
 func (n *Node) Received(now time.Duration, d Datagram) {
-	n.mind(now)
-	if n.quiet && n.own.Kind == Left {
+	n.detectPause(now)
+	if n.inactive && n.own.Kind == Left {
 		return
 	}
 	n.counts.Received++
-	if d.From == n.set.Name {
+	if d.From == n.config.Name {
 		n.counts.OwnName++
 		return
 	}
@@ -101,7 +101,7 @@
 	if m == nil || m.run != d.Run || m.key != d.Key {
 		for i := range msg.Claims {
 			if c := &msg.Claims[i]; c.Kind == Alive && c.Name == d.From && c.Run == d.Run && c.Key == d.Key {
-				n.claimed(now, c, false)
+				n.handleClaim(now, c, false)
 			}
 		}
 		if m = n.byName[d.From]; m == nil || m.key != d.Key {
@@ -110,44 +110,44 @@
 		} else if m.run != d.Run {
 			// Either an old datagram, or a new run that does not know how far the one before it had counted.
 			n.counts.StaleRun++
-			if m.toldAt == 0 || now-m.toldAt >= n.set.ProbeEvery {
-				m.toldAt = now
+			if m.staleRunNotifiedAt == 0 || now-m.staleRunNotifiedAt >= n.config.ProbeEvery {
+				m.staleRunNotifiedAt = now
 				n.send(now, m, &Message{Kind: Tell, Claims: []Claim{m.claim}})
 			}
 			return
 		}
 	}
-	if !m.seen.take(d.Counter) {
+	if !m.received.take(d.Counter) {
 		n.counts.Replayed++
 		return
 	}
 	m.knowsUs = true
-	n.hears(now, m, msg.Clock)
+	n.heardFrom(now, m, msg.Clock)
 	for i := range msg.Claims {
-		n.claimed(now, &msg.Claims[i], false)
+		n.handleClaim(now, &msg.Claims[i], false)
 	}
 	for i := range msg.Rumours {
-		n.rumour(now, &msg.Rumours[i])
+		n.handleRumour(now, &msg.Rumours[i])
 	}
-	n.answer(now, m, msg)
-	n.plan(now)
+	n.handleMessage(now, m, msg)
+	n.scheduleWake(now)
 }
 
-// hears notes that a member has just proved to be there. Its clock only ever moves ahead of what was known of it: an old
+// heardFrom notes that a member has just proved to be there. Its clock only ever moves ahead of what was known of it: an old
 // word that comes late, or again, makes nothing look younger.
-func (n *Node) hears(now time.Duration, m *member, clock time.Duration) {
-	if ahead := clock - now; !m.clocked || ahead > m.ahead {
-		m.ahead, m.clocked = ahead, true
+func (n *Node) heardFrom(now time.Duration, m *member, clock time.Duration) {
+	if ahead := clock - now; !m.clockKnown || ahead > m.clockOffset {
+		m.clockOffset, m.clockKnown = ahead, true
 	}
-	n.there(now, m)
+	n.markAlive(now, m)
 }
 
-// there takes a proof of life.
-func (n *Node) there(now time.Duration, m *member) {
-	m.heardAt, m.failed = now, 0
+// markAlive takes a proof of life.
+func (n *Node) markAlive(now time.Duration, m *member) {
+	m.lastHeardAt, m.failedProbes = now, 0
 	for _, a := range m.accusedBy {
 		if by := n.byName[a.name]; by != nil {
-			by.lied(now)
+			by.addFalseAccusation(now)
 		}
 	}
 	m.accusedBy = nil
@@ -158,50 +158,50 @@
 		n.counts.Revived++
 		m.state, m.since = alive, now
 		n.host.Log("member_back", m.name)
-		n.nextSync = min(n.nextSync, now+n.jitter(n.set.TellEvery)) // it, or we, have been away: compare tables
-		if m.revived == 0 || now-m.revived > 2*n.set.SuspectFor {
-			m.revived = now
-			n.tellItems(now, m)
+		n.nextSync = min(n.nextSync, now+n.jitter(n.config.TellEvery)) // it, or we, have been away: compare tables
+		if m.revivalNotifiedAt == 0 || now-m.revivalNotifiedAt > 2*n.config.SuspectFor {
+			m.revivalNotifiedAt = now
+			n.introduceTo(now, m)
 		}
 	}
 }
 
-// tellItems makes known to one member who we are, at once.
-func (n *Node) tellItems(now time.Duration, m *member) {
-	n.send(now, m, &Message{Kind: Tell, Claims: []Claim{n.self(now)}})
+// introduceTo makes known to one member who we are, at once.
+func (n *Node) introduceTo(now time.Duration, m *member) {
+	n.send(now, m, &Message{Kind: Tell, Claims: []Claim{n.selfClaim(now)}})
 }
 
-// lied notes that what a member said of another was not so here. It fades over some minutes.
-func (m *member) lied(now time.Duration) {
-	m.falseWord = m.falseWordNow(now) + 1
-	m.falseWordAt = now
+// addFalseAccusation notes that what a member said of another was not so here. It fades over some minutes.
+func (m *member) addFalseAccusation(now time.Duration) {
+	m.falseAccusations = m.falseAccusationsNow(now) + 1
+	m.falseAccusationsAt = now
 }
 
-func (m *member) falseWordNow(now time.Duration) float64 {
-	return fade(m.falseWord, now-m.falseWordAt, fadeTime)
+func (m *member) falseAccusationsNow(now time.Duration) float64 {
+	return fade(m.falseAccusations, now-m.falseAccusationsAt, fadeTime)
 }
 
-// claimed takes a claim; viaSync tells that it came in a comparison of tables.
-func (n *Node) claimed(now time.Duration, c *Claim, viaSync bool) {
+// handleClaim takes a claim; viaSync tells that it came in a comparison of tables.
+func (n *Node) handleClaim(now time.Duration, c *Claim, viaSync bool) {
 	switch {
-	case c.Name == n.set.Name:
-		n.aboutUs(now, c)
+	case c.Name == n.config.Name:
+		n.handleClaimAboutSelf(now, c)
 	case c.Kind == Accused:
-		n.accused(now, c)
+		n.handleAccusation(now, c)
 	case c.By != c.Name:
 		n.counts.StaleClaims++ // nobody speaks for another
 	default:
-		n.introduced(now, c, viaSync)
+		n.handleOwnClaim(now, c, viaSync)
 	}
 }
 
-// introduced takes what a member says of itself.
-func (n *Node) introduced(now time.Duration, c *Claim, viaSync bool) {
+// handleOwnClaim takes what a member says of itself.
+func (n *Node) handleOwnClaim(now time.Duration, c *Claim, viaSync bool) {
 	m := n.byName[c.Name]
 	if m != nil && !newer(c, &m.claim) {
 		n.counts.StaleClaims++
 		if m.run == c.Run && c.Clock > m.claim.Clock && c.Incarnation == m.claim.Incarnation && c.Kind == m.claim.Kind {
-			n.vouched(now, m, c)
+			n.handleFreshClaim(now, m, c)
 		}
 		return
 	}
@@ -211,31 +211,31 @@
 			n.counts.ClaimsFull++
 			return
 		}
-		n.drop(by)
+		n.removeMember(by)
 	}
 	if m == nil {
-		if c.Kind == Left || !n.roomForMember(now) {
+		if c.Kind == Left || !n.makeRoomForMember(now) {
 			n.counts.ClaimsFull++
 			return
 		}
-		m = &member{name: c.Name, hash: hash(c.Name), creditAt: now, heardAt: now - n.set.ProbeEvery}
+		m = &member{name: c.Name, hash: hash(c.Name), creditUpdatedAt: now, lastHeardAt: now - n.config.ProbeEvery}
 		m.key = c.Key
 		n.byName[m.name] = m
 		n.members = append(n.members, m)
-		n.turns = append(n.turns, m)
-		if i := n.rng.IntN(len(n.turns)); true {
-			n.turns[i], n.turns[len(n.turns)-1] = m, n.turns[i]
+		n.probeOrder = append(n.probeOrder, m)
+		if i := n.rng.IntN(len(n.probeOrder)); true {
+			n.probeOrder[i], n.probeOrder[len(n.probeOrder)-1] = m, n.probeOrder[i]
 		}
 		m.state, m.since = alive, now
 		n.host.Log("member_new", m.name)
 	}
 	if m.run != c.Run {
 		// Another run has other numbers and another clock, and what the earlier one said ends with it.
-		m.run, m.seen, m.clocked, m.knowsUs = c.Run, window{}, false, false
-		n.table.end(n, now, m)
+		m.run, m.received, m.clockKnown, m.knowsUs = c.Run, window{}, false, false
+		n.rumours.removeAllOf(n, now, m)
 		if m.state == dead || m.state == suspect { // that was the run before; whether this one is there will show
-			m.state, m.since, m.failed = alive, now, 0
-			n.check(m)
+			m.state, m.since, m.failedProbes = alive, now, 0
+			n.queueCheck(m)
 		}
 	}
 	if n.byKey[m.key] == m {
@@ -244,18 +244,18 @@
 	m.key, m.addr, m.claim = c.Key, c.Addr, *c
 	n.byKey[m.key] = m
 	m.accusedBy = nil
-	if !m.clocked {
-		m.ahead = c.Clock - now
+	if !m.clockKnown {
+		m.clockOffset = c.Clock - now
 	}
 	if c.Kind == Left {
-		n.gone(now, m, left)
+		n.markGone(now, m, left)
 	} else {
-		n.vouched(now, m, c)
+		n.handleFreshClaim(now, m, c)
 		if m.state == left {
 			m.state, m.since = alive, now // under a new incarnation it has come back
 		}
 	}
-	n.spread(now, item{claim: *c, about: m.name})
+	n.queueUpdate(now, item{claim: *c, subject: m.name})
 }
 
 // newer tells whether a claim of a member makes another void. Runs that took the same incarnation are told apart by their
@@ -267,24 +267,24 @@
 	return c.Run != than.Run && c.Run > than.Run || c.Run == than.Run && c.Kind == Left && than.Kind == Alive
 }
 
-// vouched takes a claim of a member itself as proof of life, if it was made after what makes us doubt it.
-func (n *Node) vouched(now time.Duration, m *member, c *Claim) {
-	made := min(now, c.Clock-m.ahead) // by our clock
+// handleFreshClaim takes a claim of a member itself as proof of life, if it was made after what makes us doubt it.
+func (n *Node) handleFreshClaim(now time.Duration, m *member, c *Claim) {
+	made := min(now, c.Clock-m.clockOffset) // by our clock
 	if m.claim.Run == c.Run && c.Clock > m.claim.Clock {
 		m.claim = *c
 	}
 	switch {
-	case m.state == suspect && made > m.since, m.state == dead && made > now-n.set.ProbeEvery:
-		n.there(now, m)
-	case m.clocked:
-		m.heardAt = max(m.heardAt, made)
+	case m.state == suspect && made > m.since, m.state == dead && made > now-n.config.ProbeEvery:
+		n.markAlive(now, m)
+	case m.clockKnown:
+		m.lastHeardAt = max(m.lastHeardAt, made)
 	}
 }
 
-// roomForMember makes room among the members if it can: those that are gone give way, the longest gone first. Members
+// makeRoomForMember makes room among the members if it can: those that are gone give way, the longest gone first. Members
 // that are there are never displaced by newcomers.
-func (n *Node) roomForMember(now time.Duration) bool {
-	if len(n.members) < n.set.Members-1 {
+func (n *Node) makeRoomForMember(now time.Duration) bool {
+	if len(n.members) < n.config.Members-1 {
 		return true
 	}
 	var oldest *member
@@ -294,122 +294,122 @@
 		}
 	}
 	if oldest != nil {
-		n.drop(oldest)
+		n.removeMember(oldest)
 	}
 	return oldest != nil
 }
 
-// drop forgets a member.
-func (n *Node) drop(m *member) {
+// removeMember forgets a member.
+func (n *Node) removeMember(m *member) {
 	is := func(x *member) bool { return x == m }
 	n.members = slices.DeleteFunc(n.members, is)
-	n.turns = slices.DeleteFunc(n.turns, is)
+	n.probeOrder = slices.DeleteFunc(n.probeOrder, is)
 	n.checks = slices.DeleteFunc(n.checks, is)
-	n.probes = slices.DeleteFunc(n.probes, func(p *probe) bool { return p.m == m })
+	n.probes = slices.DeleteFunc(n.probes, func(p *probe) bool { return p.target == m })
 	delete(n.byName, m.name)
 	if n.byKey[m.key] == m {
 		delete(n.byKey, m.key)
 	}
-	n.table.end(n, n.timedAt, m)
+	n.rumours.removeAllOf(n, n.lastActiveAt, m)
 }
 
-// gone ends a member; its rumours end with it.
-func (n *Node) gone(now time.Duration, m *member, how state) {
+// markGone ends a member; its rumours end with it.
+func (n *Node) markGone(now time.Duration, m *member, how state) {
 	if m.state == how {
 		return
 	}
 	m.state, m.since, m.accusedBy = how, now, nil
 	if how == dead {
 		n.counts.Died++
-		m.deadAt = now + n.deadEvery()
+		m.retryAt = now + n.deadProbeInterval()
 		n.host.Log("member_dead", m.name)
 	} else {
 		n.host.Log("member_left", m.name)
 	}
-	n.table.end(n, now, m)
+	n.rumours.removeAllOf(n, now, m)
 }
 
-// accused takes the word of another that a member does not answer. It makes this instance look, and no more.
-func (n *Node) accused(now time.Duration, c *Claim) {
+// handleAccusation takes the word of another that a member does not answer. It makes this instance look, and no more.
+func (n *Node) handleAccusation(now time.Duration, c *Claim) {
 	n.counts.Accusations++
 	m, by := n.byName[c.Name], n.byName[c.By]
 	if m == nil || by == nil || by.run != c.Run || by.key != c.Key || by.state == dead || by.state == left || m == by ||
-		c.Incarnation < m.claim.Incarnation || m.state == dead || m.state == left || c.Clock > by.clock(now)+n.set.SuspectFor ||
-		by.clock(now)-c.Clock > 2*n.set.SuspectFor || m.accused(c.By) {
+		c.Incarnation < m.claim.Incarnation || m.state == dead || m.state == left || c.Clock > by.clock(now)+n.config.SuspectFor ||
+		by.clock(now)-c.Clock > 2*n.config.SuspectFor || m.isAccusedBy(c.By) {
 		n.counts.AccusationsIgnored++
 		return
 	}
 	pending := 0
 	for _, x := range n.members {
-		if x.accused(c.By) {
+		if x.isAccusedBy(c.By) {
 			pending++
 		}
 	}
 	// Whoever has been heard of since it was made is there, which is no lie: it may have been away before.
-	if by.falseWordNow(now) >= mostFalse || len(m.accusedBy) >= accusers || pending >= accusedByOne ||
-		m.heardAt > now-(by.clock(now)-c.Clock) {
+	if by.falseAccusationsNow(now) >= mostFalse || len(m.accusedBy) >= accusers || pending >= accusedByOne ||
+		m.lastHeardAt > now-(by.clock(now)-c.Clock) {
 		n.counts.AccusationsIgnored++
 		return
 	}
 	m.accusedBy = append(m.accusedBy, accuser{c.By, now})
-	n.spread(now, item{claim: *c, about: m.name})
-	n.check(m)
+	n.queueUpdate(now, item{claim: *c, subject: m.name})
+	n.queueCheck(m)
 	if m.state == suspect {
-		n.confirm(now, m)
+		n.applyConfirmations(now, m)
 	}
 }
 
-func (m *member) accused(by string) bool {
+func (m *member) isAccusedBy(by string) bool {
 	return slices.ContainsFunc(m.accusedBy, func(a accuser) bool { return a.name == by })
 }
 
-// suspects is this instance's own judgement after a probe that nothing came back from.
-func (n *Node) suspects(now time.Duration, m *member) {
-	m.failed++
+// handleProbeFailure is this instance's own judgement after a probe that nothing came back from.
+func (n *Node) handleProbeFailure(now time.Duration, m *member) {
+	m.failedProbes++
 	switch m.state {
 	case alive:
 		n.counts.Suspected++
 		m.state, m.since = suspect, now
-		m.suspectTill = now + 2*n.scaled(n.set.SuspectFor)
-		n.confirm(now, m)
-		if len(m.accusedBy) < accusers && !n.quiet {
-			c := Claim{Kind: Accused, Name: m.name, Incarnation: m.claim.Incarnation, By: n.set.Name, Key: n.own.Key, Run: n.own.Run, Clock: now}
-			m.accusedBy = append(m.accusedBy, accuser{n.set.Name, now})
-			n.spread(now, item{claim: c, about: m.name})
+		m.suspectUntil = now + 2*n.scaled(n.config.SuspectFor)
+		n.applyConfirmations(now, m)
+		if len(m.accusedBy) < accusers && !n.inactive {
+			c := Claim{Kind: Accused, Name: m.name, Incarnation: m.claim.Incarnation, By: n.config.Name, Key: n.own.Key, Run: n.own.Run, Clock: now}
+			m.accusedBy = append(m.accusedBy, accuser{n.config.Name, now})
+			n.queueUpdate(now, item{claim: c, subject: m.name})
 		}
-		n.check(m)
+		n.queueCheck(m)
 	case suspect:
-		n.confirm(now, m)
-		if m.failed >= 2 && now >= m.suspectTill {
-			n.gone(now, m, dead)
+		n.applyConfirmations(now, m)
+		if m.failedProbes >= 2 && now >= m.suspectUntil {
+			n.markGone(now, m, dead)
 			return
 		}
-		n.check(m)
+		n.queueCheck(m)
 	}
 }
 
-// confirm shortens a suspicion that others share.
-func (n *Node) confirm(now time.Duration, m *member) {
+// applyConfirmations shortens a suspicion that others share.
+func (n *Node) applyConfirmations(now time.Duration, m *member) {
 	others := 0
 	for _, a := range m.accusedBy {
-		if a.name != n.set.Name {
+		if a.name != n.config.Name {
 			others++
 		}
 	}
 	if others > 0 {
-		m.suspectTill = min(m.suspectTill, m.since+n.scaled(n.set.SuspectFor))
+		m.suspectUntil = min(m.suspectUntil, m.since+n.scaled(n.config.SuspectFor))
 	}
 }
 
-// aboutUs takes what is said of this instance under its name.
-func (n *Node) aboutUs(now time.Duration, c *Claim) {
+// handleClaimAboutSelf takes what is said of this instance under its name.
+func (n *Node) handleClaimAboutSelf(now time.Duration, c *Claim) {
 	if c.Kind == Accused {
-		if c.Incarnation >= n.own.Incarnation && !n.quiet && (n.refutedAt == 0 || now-n.refutedAt >= n.set.ProbeEvery) {
+		if c.Incarnation >= n.own.Incarnation && !n.inactive && (n.refutedAt == 0 || now-n.refutedAt >= n.config.ProbeEvery) {
 			n.counts.Refutations++
 			n.refutedAt = now
 			n.own.Incarnation = c.Incarnation // no accuser makes it jump
-			n.doubts(1)
-			n.assert(now)
+			n.adjustHealthScore(1)
+			n.bumpIncarnation(now)
 		}
 		return
 	}
@@ -421,29 +421,29 @@
 		// An earlier run of our own, or one that will turn out to hold the name: go beyond it.
 		if c.Incarnation >= n.own.Incarnation && c.Incarnation < 1<<31 {
 			n.own.Incarnation = c.Incarnation
-			n.assert(now)
+			n.bumpIncarnation(now)
 		}
 	case newer(c, &n.own):
-		if !n.quiet {
+		if !n.inactive {
 			n.counts.OwnName++
 			n.host.Log("name_taken", c.Addr.String())
 		}
-		n.quiet, n.joined = true, false
-		n.joinAt = now + n.set.SyncEvery
+		n.inactive, n.joined = true, false
+		n.joinAt = now + n.config.SyncEvery
 		n.own.Incarnation = c.Incarnation
 	}
 }
 
-// assert goes beyond all that was said of this instance, and says so.
-func (n *Node) assert(now time.Duration) {
+// bumpIncarnation goes beyond all that was said of this instance, and says so.
+func (n *Node) bumpIncarnation(now time.Duration) {
 	n.own.Incarnation++
 	if n.joined {
-		n.spread(now, item{claim: n.self(now), about: n.set.Name})
+		n.queueUpdate(now, item{claim: n.selfClaim(now), subject: n.config.Name})
 	}
 }
 
-// self is what this instance says of itself now.
-func (n *Node) self(now time.Duration) Claim {
+// selfClaim is what this instance says of itself now.
+func (n *Node) selfClaim(now time.Duration) Claim {
 	c := n.own
 	c.Clock = now
 	return c
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -109,23 +109,23 @@
 	streamBytes   = 400 // a stream's own packets and both sides' proofs
 )
 
-func (c *Claim) bytes() int {
+func (c *Claim) maxBytes() int {
 	if c.Kind == Accused {
 		return accusedBytes + len(c.Name)
 	}
 	return claimBytes + 2*len(c.Name)
 }
 
-func (r *Rumour) bytes() int { return rumourBytes }
+func (r *Rumour) maxBytes() int { return rumourBytes }
 
 // Bytes is what the message takes on the wire at most, headers of IP and UDP included.
 func (m *Message) Bytes() int {
 	n := datagramBytes + len(m.Target)
 	for i := range m.Claims {
-		n += m.Claims[i].bytes()
+		n += m.Claims[i].maxBytes()
 	}
 	for i := range m.Rumours {
-		n += m.Rumours[i].bytes()
+		n += m.Rumours[i].maxBytes()
 	}
 	return n
 }
@@ -154,17 +154,17 @@
 
 // Bytes is what a digest takes on a stream.
 func (d *Digest) Bytes() int {
-	return streamBytes + d.Own.bytes() + 5*(len(d.Members)+len(d.Dead)+len(d.Rumours))
+	return streamBytes + d.Own.maxBytes() + 5*(len(d.Members)+len(d.Dead)+len(d.Rumours))
 }
 
 // Bytes is what items take on a stream.
 func (i *Items) Bytes() int {
 	n := streamBytes + 5*(len(i.Wants)+len(i.Lacks)+len(i.Alive))
 	for j := range i.Claims {
-		n += i.Claims[j].bytes()
+		n += i.Claims[j].maxBytes()
 	}
 	for j := range i.Rumours {
-		n += i.Rumours[j].bytes()
+		n += i.Rumours[j].maxBytes()
 	}
 	return n
 }
--- a/internal/gossip/rumour.go
+++ b/internal/gossip/rumour.go
@@ -9,14 +9,14 @@
 // come in later by another way.
 type entry struct {
 	Rumour
-	m       *member // its observer; nil where that is this instance
-	arrived time.Duration
-	aged    time.Duration // its age then
-	borne   bool          // this instance has seen the same since
-	heldAt  time.Duration // when it was last held against its observer
+	observer       *member // its observer; nil where that is this instance
+	arrivedAt      time.Duration
+	ageOnArrival   time.Duration // its age then
+	confirmed      bool          // this instance has seen the same since
+	contradictedAt time.Duration // when it was last held against its observer
 }
 
-func (e *entry) age(now time.Duration) time.Duration { return e.aged + now - e.arrived }
+func (e *entry) age(now time.Duration) time.Duration { return e.ageOnArrival + now - e.arrivedAt }
 
 // server is one that somebody says something about, or that this instance has a symptom of.
 type server struct {
@@ -29,11 +29,11 @@
 // symptom is this instance's own trouble with a server.
 type symptom struct {
 	Symptom
-	strength uint8
-	since    time.Duration
-	seenAt   time.Duration // newest evidence
-	told     bool
-	toldAt   time.Duration
+	strength    uint8
+	since       time.Duration
+	lastSeenAt  time.Duration // newest evidence
+	announced   bool
+	announcedAt time.Duration
 }
 
 // table holds rumours, by observer; by server they hang on the servers.
@@ -53,22 +53,22 @@
 	holdOff     = 4 // part of a probe round for which a symptom must last to be told
 )
 
-// of returns what is held of a server, and makes it where it is not.
-func (n *Node) of(id uint64) *server {
-	s := n.rumoured[id]
+// serverFor returns what is held serverFor a server, and makes it where it is not.
+func (n *Node) serverFor(id uint64) *server {
+	s := n.serversByID[id]
 	if s == nil {
 		s = &server{id: id}
-		n.rumoured[id] = s
+		n.serversByID[id] = s
 		n.serverOrder = append(n.serverOrder, s)
 	}
 	return s
 }
 
-// rumour takes one rumour, from whomever it came.
-func (n *Node) rumour(now time.Duration, t *Told) {
+// handleRumour takes one handleRumour, from whomever it came.
+func (n *Node) handleRumour(now time.Duration, t *Told) {
 	r := &t.Rumour
 	m := n.byName[r.Observer]
-	if r.Observer == n.set.Name {
+	if r.Observer == n.config.Name {
 		n.counts.RumoursKnown++
 		return
 	}
@@ -77,20 +77,20 @@
 		return
 	}
 	ahead := r.Made - m.clock(now)
-	if m.clocked && ahead > n.set.RumourLife/futureShare {
+	if m.clockKnown && ahead > n.config.RumourLife/futureShare {
 		n.counts.RumoursFuture++
-		m.against(now, 1)
+		m.addContradicted(now, 1)
 		return
 	}
 	if ahead > 0 {
-		m.ahead += ahead // it cannot have been made later than now
+		m.clockOffset += ahead // it cannot have been made later than now
 	}
 	age := max(t.Age, m.clock(now)-r.Made, 0)
-	if age > n.set.RumourLife {
+	if age > n.config.RumourLife {
 		n.counts.RumoursOld++
 		return
 	}
-	s, had := n.rumoured[r.Server], false
+	s, had := n.serversByID[r.Server], false
 	var old *entry
 	if s != nil {
 		if i := slices.IndexFunc(s.entries, func(e *entry) bool { return e.Observer == r.Observer }); i >= 0 {
@@ -103,70 +103,70 @@
 			had = e.Symptom != Well
 		}
 	}
-	if !m.paces(now, max(leastPace, float64(n.set.RumoursPerObserver)*m.credit(now)), n.set.RumourLife) {
+	if !m.allowRumour(now, max(leastPace, float64(n.config.RumoursPerObserver)*m.credit(now)), n.config.RumourLife) {
 		n.counts.RumoursDropped++
 		return
 	}
 	if old != nil {
-		n.table.remove(n, old)
+		n.rumours.remove(n, old)
 	}
-	e := &entry{Rumour: *r, m: m, arrived: now, aged: age}
-	if !n.table.admits(n, now, e) {
+	e := &entry{Rumour: *r, observer: m, arrivedAt: now, ageOnArrival: age}
+	if !n.rumours.makeRoom(n, now, e) {
 		n.counts.RumoursDropped++
-		n.settle(now, r.Server)
+		n.updateWeight(now, r.Server)
 		return
 	}
 	n.counts.RumoursTaken++
-	s = n.of(r.Server)
-	n.table.add(s, e)
+	s = n.serverFor(r.Server)
+	n.rumours.add(s, e)
 	if s.own.Symptom != Well && e.Symptom != Well {
-		e.borne = true
-		m.credited(now, 0.25) // it tells what is known here already
+		e.confirmed = true
+		m.addConfirmed(now, 0.25) // it tells what is known here already
 	}
 	// A liar's word goes no further, nor does the withdrawal of what nobody here has heard.
 	if m.credit(now) >= lowCredit && (had || e.Symptom != Well) {
-		n.spread(now, item{rumour: e})
+		n.queueUpdate(now, item{rumour: e})
 	}
-	n.settle(now, r.Server)
+	n.updateWeight(now, r.Server)
 }
 
-// paces tells whether an observer may say one thing more: as many at once as its credit leaves of its share of the table, and
+// allowRumour tells whether an observer may say one thing more: as many at once as its credit leaves of its share of the table, and
 // as many again in the time that a rumour lives. So liars soon take little of what all may send.
-func (m *member) paces(now time.Duration, share float64, life time.Duration) bool {
-	m.said = max(0, m.said-float64(now-m.saidAt)/float64(life)*share)
-	m.saidAt = now
-	if m.said+1 > share {
+func (m *member) allowRumour(now time.Duration, share float64, life time.Duration) bool {
+	m.rumourLevel = max(0, m.rumourLevel-float64(now-m.rumourLevelAt)/float64(life)*share)
+	m.rumourLevelAt = now
+	if m.rumourLevel+1 > share {
 		return false
 	}
-	m.said++
+	m.rumourLevel++
 	return true
 }
 
-// admits makes room for a rumour, or says that there is none. A share for each observer, few observers for each server,
+// makeRoom makes room for a rumour, or says that there is none. A share for each observer, few observers for each server,
 // and where the whole table is full the observer with the most in it gives way: whoever is loud displaces himself.
-func (t *table) admits(n *Node, now time.Duration, e *entry) bool {
-	if mine := t.byObserver[e.Observer]; len(mine) >= n.set.RumoursPerObserver {
+func (t *table) makeRoom(n *Node, now time.Duration, e *entry) bool {
+	if mine := t.byObserver[e.Observer]; len(mine) >= n.config.RumoursPerObserver {
 		t.remove(n, mine[0])
 	}
-	if s := n.rumoured[e.Server]; s != nil && e.Symptom != Well {
+	if s := n.serversByID[e.Server]; s != nil && e.Symptom != Well {
 		var least *entry
 		count := 0
 		for _, o := range s.entries {
-			if o.Symptom != Well && o.m != nil {
+			if o.Symptom != Well && o.observer != nil {
 				count++
-				if least == nil || o.m.credit(now) < least.m.credit(now) {
+				if least == nil || o.observer.credit(now) < least.observer.credit(now) {
 					least = o
 				}
 			}
 		}
-		if count >= n.set.ObserversPerServer {
-			if e.m == nil || e.m.credit(now) <= least.m.credit(now)+hardly {
-				return e.m == nil
+		if count >= n.config.ObserversPerServer {
+			if e.observer == nil || e.observer.credit(now) <= least.observer.credit(now)+hardly {
+				return e.observer == nil
 			}
 			t.remove(n, least)
 		}
 	}
-	if t.size >= n.set.Rumours {
+	if t.size >= n.config.Rumours {
 		most := ""
 		for _, name := range t.observers {
 			if most == "" || len(t.byObserver[name]) > len(t.byObserver[most]) {
@@ -181,7 +181,7 @@
 		}
 		victim := t.byObserver[most][0]
 		t.remove(n, victim)
-		n.settle(now, victim.Server)
+		n.updateWeight(now, victim.Server)
 	}
 	return true
 }
@@ -203,43 +203,43 @@
 		delete(t.byObserver, e.Observer)
 		t.observers = slices.DeleteFunc(t.observers, func(name string) bool { return name == e.Observer })
 	}
-	if s := n.rumoured[e.Server]; s != nil {
+	if s := n.serversByID[e.Server]; s != nil {
 		s.entries = slices.DeleteFunc(s.entries, is)
 	}
 	t.size--
-	n.unspread(e)
+	n.dequeueRumour(e)
 }
 
-// end drops all that a member has said.
-func (t *table) end(n *Node, now time.Duration, m *member) {
+// removeAllOf drops all that a member has said.
+func (t *table) removeAllOf(n *Node, now time.Duration, m *member) {
 	for _, e := range slices.Clone(t.byObserver[m.name]) {
 		t.remove(n, e)
-		n.settle(now, e.Server)
+		n.updateWeight(now, e.Server)
 	}
 }
 
-// settle weighs what is said of a server anew, tells the module where that has changed, and forgets it where nothing is
+// updateWeight weighs what is said of a server anew, tells the module where that has changed, and forgets it where nothing is
 // left to hold.
-func (n *Node) settle(now time.Duration, id uint64) {
-	s := n.rumoured[id]
+func (n *Node) updateWeight(now time.Duration, id uint64) {
+	s := n.serversByID[id]
 	if s == nil {
 		return
 	}
-	if w := s.weighed(now); w != s.weight && (w == 0 || w-s.weight > hardly || s.weight-w > hardly) {
+	if w := s.totalWeight(now); w != s.weight && (w == 0 || w-s.weight > hardly || s.weight-w > hardly) {
 		s.weight = w
 		n.host.Rumoured(id, w)
 	}
 	if len(s.entries) == 0 && s.own.Symptom == Well {
-		delete(n.rumoured, id)
+		delete(n.serversByID, id)
 		n.serverOrder = slices.DeleteFunc(n.serverOrder, func(o *server) bool { return o == s })
 	}
 }
 
-// weighed is how many others say that a server is in trouble, each counted by its credit.
-func (s *server) weighed(now time.Duration) (sum float64) {
+// totalWeight is how many others say that a server is in trouble, each counted by its credit.
+func (s *server) totalWeight(now time.Duration) (sum float64) {
 	for _, e := range s.entries {
-		if e.m != nil && e.Symptom != Well {
-			sum += e.m.credit(now) * float64(e.Strength) / 255
+		if e.observer != nil && e.Symptom != Well {
+			sum += e.observer.credit(now) * float64(e.Strength) / 255
 		}
 	}
 	return sum
@@ -249,19 +249,19 @@
 func (n *Node) sweep(now time.Duration) {
 	for _, s := range slices.Clone(n.serverOrder) {
 		for _, e := range slices.Clone(s.entries) {
-			if e.age(now) > n.set.RumourLife {
-				n.table.remove(n, e)
+			if e.age(now) > n.config.RumourLife {
+				n.rumours.remove(n, e)
 			}
 		}
 		if s.own.Symptom != Well {
-			n.consider(now, s)
+			n.announceIfDue(now, s)
 		}
-		n.settle(now, s.id)
+		n.updateWeight(now, s.id)
 	}
 	if len(n.members) > 0 {
 		for _, m := range slices.Clone(n.members) {
-			if (m.state == left || m.state == dead) && now-m.since > deadKept*n.set.ProbeEvery && len(n.members) > n.set.Members/2 {
-				n.drop(m)
+			if (m.state == left || m.state == dead) && now-m.since > deadKept*n.config.ProbeEvery && len(n.members) > n.config.Members/2 {
+				n.removeMember(m)
 			}
 		}
 	}
@@ -270,97 +270,97 @@
 // Symptom is called whenever this instance has seen a server in trouble by itself. It must never be called because of what
 // others say: rumours do not breed rumours.
 func (n *Node) Symptom(now time.Duration, id uint64, what Symptom, strength uint8) {
-	n.mind(now)
+	n.detectPause(now)
 	if what == Well {
 		n.Recovered(now, id)
 		return
 	}
-	s := n.of(id)
+	s := n.serverFor(id)
 	if s.own.Symptom == Well {
 		s.own.since = now
 		for _, e := range s.entries {
-			if e.m != nil && e.Symptom != Well && !e.borne {
-				e.borne = true
-				e.m.credited(now, 1)
+			if e.observer != nil && e.Symptom != Well && !e.confirmed {
+				e.confirmed = true
+				e.observer.addConfirmed(now, 1)
 				n.counts.BorneOut++
 			}
 		}
 	}
-	s.own.Symptom, s.own.strength, s.own.seenAt = what, strength, now
-	n.consider(now, s)
-	n.settle(now, id)
-	n.plan(now)
+	s.own.Symptom, s.own.strength, s.own.lastSeenAt = what, strength, now
+	n.announceIfDue(now, s)
+	n.updateWeight(now, id)
+	n.scheduleWake(now)
 }
 
 // Recovered is called when the instance's own trouble with a server has ended.
 func (n *Node) Recovered(now time.Duration, id uint64) {
-	n.mind(now)
-	s := n.rumoured[id]
+	n.detectPause(now)
+	s := n.serversByID[id]
 	if s == nil || s.own.Symptom == Well {
 		return
 	}
-	told := s.own.told
+	told := s.own.announced
 	s.own = symptom{}
 	if told {
 		n.counts.RumoursWithdrawn++
-		n.make(now, s, Well, 0)
+		n.addOwnRumour(now, s, Well, 0)
 	}
-	n.settle(now, id)
-	n.plan(now)
+	n.updateWeight(now, id)
+	n.scheduleWake(now)
 }
 
 // Acked is called when a server has acked, in time, an op that was sent at a time. That speaks against those who said
 // before then that it does not work, by how much they said it does not.
 func (n *Node) Acked(now time.Duration, id uint64, sentAt time.Duration) {
-	s := n.rumoured[id]
+	s := n.serversByID[id]
 	if s == nil {
 		return
 	}
 	held := false
 	for _, e := range s.entries {
-		if e.m == nil || e.Symptom == Well || e.arrived > sentAt || e.heldAt > 0 && now-e.heldAt < 2*n.set.ProbeEvery {
+		if e.observer == nil || e.Symptom == Well || e.arrivedAt > sentAt || e.contradictedAt > 0 && now-e.contradictedAt < 2*n.config.ProbeEvery {
 			continue
 		}
-		e.heldAt, held = now, true
+		e.contradictedAt, held = now, true
 		n.counts.Contradicted++
 		switch e.Symptom {
 		case Silent, Unreachable:
-			e.m.against(now, 1)
+			e.observer.addContradicted(now, 1)
 		default: // a server that fails or delays some ops acks others in time
-			e.m.against(now, 0.3)
+			e.observer.addContradicted(now, 0.3)
 		}
 	}
 	if held {
-		n.settle(now, id)
+		n.updateWeight(now, id)
 	}
 }
 
-// consider tells of the instance's own symptom, unless enough others do or it has reason to doubt itself; and tells again
+// announceIfDue tells of the instance's own symptom, unless enough others do or it has reason to doubt itself; and tells again
 // what is half through its life.
-func (n *Node) consider(now time.Duration, s *server) {
-	if !n.joined || n.quiet || n.doubt >= mostDoubt/2 {
+func (n *Node) announceIfDue(now time.Duration, s *server) {
+	if !n.joined || n.inactive || n.healthScore >= mostDoubt/2 {
 		return
 	}
 	switch {
-	case now-s.own.since < n.set.ProbeEvery/holdOff: // where ops are many the next answer may end it
+	case now-s.own.since < n.config.ProbeEvery/holdOff: // where ops are many the next answer may end it
 		return
-	case s.own.told && (now-s.own.toldAt < n.set.RumourLife/2 || s.own.seenAt <= s.own.toldAt): // nothing new to say
+	case s.own.announced && (now-s.own.announcedAt < n.config.RumourLife/2 || s.own.lastSeenAt <= s.own.announcedAt): // nothing new to say
 		return
-	case s.own.toldAt > 0 && now-s.own.toldAt < n.set.ProbeEvery, !s.own.told && now-s.own.seenAt > n.set.RumourLife/2:
+	case s.own.announcedAt > 0 && now-s.own.announcedAt < n.config.ProbeEvery, !s.own.announced && now-s.own.lastSeenAt > n.config.RumourLife/2:
 		return
 	}
-	if s.weighed(now) >= enough {
-		s.own.told = false // it ends by its age
+	if s.totalWeight(now) >= enough {
+		s.own.announced = false // it ends by its age
 		return
 	}
-	if sick := n.sick(); sick > fewest && 2*sick > n.servers {
+	if sick := n.countTroubledServers(); sick > fewest && 2*sick > n.serverCount {
 		return // most of all servers in trouble is most likely a trouble of this instance's own
 	}
-	n.make(now, s, s.own.Symptom, s.own.strength)
-	s.own.told, s.own.toldAt = true, now
+	n.addOwnRumour(now, s, s.own.Symptom, s.own.strength)
+	s.own.announced, s.own.announcedAt = true, now
 }
 
-func (n *Node) sick() (count int) {
+func (n *Node) countTroubledServers() (count int) {
 	for _, s := range n.serverOrder {
 		if s.own.Symptom != Well {
 			count++
@@ -369,19 +369,19 @@
 	return count
 }
 
-// make puts a rumour of this instance's own into the table and among the news.
-func (n *Node) make(now time.Duration, s *server, what Symptom, strength uint8) {
-	if i := slices.IndexFunc(s.entries, func(e *entry) bool { return e.m == nil }); i >= 0 {
-		n.table.remove(n, s.entries[i])
-	}
-	n.lastNumber++
-	e := &entry{arrived: now, Rumour: Rumour{Observer: n.set.Name, Key: n.own.Key, Run: n.own.Run, Server: s.id, Symptom: what,
-		Strength: strength, Number: n.lastNumber, Made: now}}
-	if !n.table.admits(n, now, e) {
+// addOwnRumour puts a rumour of this instance's own into the table and among the news.
+func (n *Node) addOwnRumour(now time.Duration, s *server, what Symptom, strength uint8) {
+	if i := slices.IndexFunc(s.entries, func(e *entry) bool { return e.observer == nil }); i >= 0 {
+		n.rumours.remove(n, s.entries[i])
+	}
+	n.lastRumourNumber++
+	e := &entry{arrivedAt: now, Rumour: Rumour{Observer: n.config.Name, Key: n.own.Key, Run: n.own.Run, Server: s.id, Symptom: what,
+		Strength: strength, Number: n.lastRumourNumber, Made: now}}
+	if !n.rumours.makeRoom(n, now, e) {
 		n.counts.RumoursDropped++
 		return
 	}
 	n.counts.RumoursMade++
-	n.table.add(s, e)
-	n.spread(now, item{rumour: e})
+	n.rumours.add(s, e)
+	n.queueUpdate(now, item{rumour: e})
 }
--- a/internal/gossip/sim_test.go
+++ b/internal/gossip/sim_test.go
@@ -12,15 +12,15 @@
 
 // land is a small network in virtual time for the tests of this package; the emulator has a larger one.
 type land struct {
-	t     *testing.T
-	now   time.Duration
-	seq   int
-	queue events
-	rng   *rand.Rand
-	nodes []*inhabitant
-	loss  float64
-	cut   func(from, to int) bool
-	sent  func(from, to int, m *Message)
+	t          *testing.T
+	now        time.Duration
+	seq        int
+	queue      events
+	rng        *rand.Rand
+	nodes      []*inhabitant
+	loss       float64
+	blocked    func(from, to int) bool
+	onDelivery func(from, to int, m *Message)
 }
 
 type event struct {
@@ -46,17 +46,17 @@
 // inhabitant is one instance; it is the node's Host.
 type inhabitant struct {
 	*Node
-	l       *land
-	i       int
-	base    time.Duration // when this run started
-	run     uint64
-	counter uint64
-	wake    int
-	down    bool
-	paused  time.Duration // until
-	weights map[uint64]float64
-	log     []string
-	bytes   int
+	net         *land
+	index       int
+	startedAt   time.Duration // when this run started
+	run         uint64
+	counter     uint64
+	wakeSeq     int
+	down        bool
+	pausedUntil time.Duration // until
+	weights     map[uint64]float64
+	log         []string
+	bytes       int
 }
 
 func addrOf(i int) netip.AddrPort {
@@ -66,7 +66,7 @@
 func newLand(t *testing.T, count int, seed uint64) *land {
 	l := &land{t: t, rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range count {
-		h := &inhabitant{l: l, i: i}
+		h := &inhabitant{net: l, index: i}
 		l.nodes = append(l.nodes, h)
 		h.start(nil)
 	}
@@ -75,9 +75,9 @@
 
 // start makes a run of the instance that knows nothing of earlier ones.
 func (h *inhabitant) start(change func(*Setup)) {
-	h.run = h.l.rng.Uint64()
-	h.base, h.counter, h.down, h.weights = h.l.now, 0, false, map[uint64]float64{}
-	s := Setup{Name: fmt.Sprintf("n%03d", h.i), Key: KeyID{byte(h.i >> 8), byte(h.i), 1}, Run: h.run, Seed: uint64(h.i), Addr: addrOf(h.i),
+	h.run = h.net.rng.Uint64()
+	h.startedAt, h.counter, h.down, h.weights = h.net.now, 0, false, map[uint64]float64{}
+	s := Setup{Name: fmt.Sprintf("n%03d", h.index), Key: KeyID{byte(h.index >> 8), byte(h.index), 1}, Run: h.run, Seed: uint64(h.index), Addr: addrOf(h.index),
 		Seeds: []netip.AddrPort{addrOf(0), addrOf(1)}, ProbeEvery: time.Second, ProbeTimeout: 400 * time.Millisecond,
 		SuspectFor: 4 * time.Second, TellEvery: 200 * time.Millisecond, SyncEvery: 20 * time.Second, RumourLife: 30 * time.Second,
 		Members: 512, Rumours: 2048, RumoursPerObserver: 64, ObserversPerServer: 5, Datagram: 1200, DatagramsPerTell: 3, BytesPerSecond: 8000}
@@ -86,16 +86,16 @@
 	}
 	h.Node = New(h, s)
 	n := h.Node
-	h.l.at(h.l.now+time.Duration(h.l.rng.IntN(1000))*time.Millisecond, func() {
+	h.net.schedule(h.net.now+time.Duration(h.net.rng.IntN(1000))*time.Millisecond, func() {
 		if h.Node == n && !h.down {
-			n.Start(h.here())
+			n.Start(h.localTime())
 		}
 	})
 }
 
-func (h *inhabitant) here() time.Duration { return h.l.now - h.base }
+func (h *inhabitant) localTime() time.Duration { return h.net.now - h.startedAt }
 
-func (l *land) at(at time.Duration, do func()) {
+func (l *land) schedule(at time.Duration, do func()) {
 	l.seq++
 	heap.Push(&l.queue, event{at, l.seq, do})
 }
@@ -109,27 +109,27 @@
 	l.now = until
 }
 
-// then does something at an instance, later if it is paused, never if it has gone meanwhile.
-func (h *inhabitant) then(after time.Duration, do func()) {
+// scheduleHere does something at an instance, later if it is paused, never if it has gone meanwhile.
+func (h *inhabitant) scheduleHere(after time.Duration, do func()) {
 	n := h.Node
 	var try func()
 	try = func() {
 		switch {
 		case h.Node != n || h.down:
-		case h.l.now < h.paused:
-			h.l.at(h.paused, try)
+		case h.net.now < h.pausedUntil:
+			h.net.schedule(h.pausedUntil, try)
 		default:
 			do()
 		}
 	}
-	h.l.at(h.l.now+after, try)
+	h.net.schedule(h.net.now+after, try)
 }
 
-func (l *land) delay() time.Duration {
+func (l *land) randomDelay() time.Duration {
 	return time.Duration(500+l.rng.IntN(2000)) * time.Microsecond
 }
 
-func (l *land) by(at netip.AddrPort) *inhabitant {
+func (l *land) nodeAt(at netip.AddrPort) *inhabitant {
 	a := at.Addr().As4()
 	if i := int(a[2])<<8 | int(a[3]); i < len(l.nodes) {
 		return l.nodes[i]
@@ -138,47 +138,47 @@
 }
 
 func (h *inhabitant) Datagram(to netip.AddrPort, _ KeyID, m *Message) {
-	l, x := h.l, h.l.by(to)
+	l, x := h.net, h.net.nodeAt(to)
 	h.counter++
 	h.bytes += m.Bytes()
-	d := Datagram{From: h.set.Name, Key: h.own.Key, Run: h.run, Counter: h.counter, Message: m}
-	if m.Bytes() > h.set.Datagram+28 {
+	d := Datagram{From: h.config.Name, Key: h.own.Key, Run: h.run, Counter: h.counter, Message: m}
+	if m.Bytes() > h.config.Datagram+28 {
 		l.t.Errorf("a datagram of %d bytes", m.Bytes())
 	}
-	if x == nil || l.cut != nil && l.cut(h.i, x.i) || l.rng.Float64() < l.loss {
+	if x == nil || l.blocked != nil && l.blocked(h.index, x.index) || l.rng.Float64() < l.loss {
 		return
 	}
-	if l.sent != nil {
-		l.sent(h.i, x.i, m)
+	if l.onDelivery != nil {
+		l.onDelivery(h.index, x.index, m)
 	}
-	x.then(l.delay(), func() { x.Received(x.here(), d) })
+	x.scheduleHere(l.randomDelay(), func() { x.Received(x.localTime(), d) })
 	if l.loss > 0 && l.rng.Float64() < l.loss { // and where there is loss, some come twice, out of order
-		x.then(l.delay()*5, func() { x.Received(x.here(), d) })
+		x.scheduleHere(l.randomDelay()*5, func() { x.Received(x.localTime(), d) })
 	}
 }
 
 func (h *inhabitant) Exchange(with netip.AddrPort, d *Digest) {
-	l, x := h.l, h.l.by(with)
-	if x == nil || x.down || l.cut != nil && (l.cut(h.i, x.i) || l.cut(x.i, h.i)) {
-		h.then(time.Second, func() { h.ExchangeFailed(h.here(), with) })
+	l, x := h.net, h.net.nodeAt(with)
+	if x == nil || x.down || l.blocked != nil && (l.blocked(h.index, x.index) || l.blocked(x.index, h.index)) {
+		h.scheduleHere(time.Second, func() { h.ExchangeFailed(h.localTime(), with) })
 		return
 	}
-	x.then(l.delay(), func() {
-		items := x.Asked(x.here(), d, addrOf(h.i).Addr())
-		h.then(l.delay(), func() {
-			if give := h.Exchanged(h.here(), items); give != nil {
-				x.then(l.delay(), func() { x.Given(x.here(), give) })
+	x.scheduleHere(l.randomDelay(), func() {
+		items := x.Asked(x.localTime(), d, addrOf(h.index).Addr())
+		h.scheduleHere(l.randomDelay(), func() {
+			if give := h.Exchanged(h.localTime(), items); give != nil {
+				x.scheduleHere(l.randomDelay(), func() { x.Given(x.localTime(), give) })
 			}
 		})
 	})
 }
 
 func (h *inhabitant) Wake(at time.Duration) {
-	h.wake++
-	wake := h.wake
-	h.then(max(0, at-h.here()), func() {
-		if h.wake == wake {
-			h.Timer(h.here())
+	h.wakeSeq++
+	wake := h.wakeSeq
+	h.scheduleHere(max(0, at-h.localTime()), func() {
+		if h.wakeSeq == wake {
+			h.Timer(h.localTime())
 		}
 	})
 }
@@ -186,8 +186,8 @@
 func (h *inhabitant) Rumoured(server uint64, weight float64) { h.weights[server] = weight }
 func (h *inhabitant) Log(event, name string)                 { h.log = append(h.log, event+" "+name) }
 
-// standings counts, over all instances that run, how they hold the others.
-func (l *land) standings() map[Standing]int {
+// countStatuses counts, over all instances that run, how they hold the others.
+func (l *land) countStatuses() map[Standing]int {
 	all := map[Standing]int{}
 	for _, h := range l.nodes {
 		if !h.down {
@@ -199,8 +199,8 @@
 	return all
 }
 
-// know counts who is told of a server.
-func (l *land) know(server uint64) (count int) {
+// countInformed counts who is told of a server.
+func (l *land) countInformed(server uint64) (count int) {
 	for _, h := range l.nodes {
 		if !h.down && h.weights[server] > 0 {
 			count++
@@ -212,7 +212,7 @@
 func TestAllFindOneAnotherThroughASeed(t *testing.T) {
 	l := newLand(t, 50, 1)
 	l.run(60 * time.Second)
-	if got := l.standings(); got[IsAlive] != 50*49 || len(got) != 1 {
+	if got := l.countStatuses(); got[IsAlive] != 50*49 || len(got) != 1 {
 		t.Errorf("%v", got)
 	}
 }
@@ -221,25 +221,25 @@
 	l := newLand(t, 50, 2)
 	l.run(60 * time.Second)
 	h := l.nodes[7]
-	h.Symptom(h.here(), 99, Silent, 255)
+	h.Symptom(h.localTime(), 99, Silent, 255)
 	at := l.now
-	for l.know(99) < 49 && l.now < at+10*time.Second {
+	for l.countInformed(99) < 49 && l.now < at+10*time.Second {
 		l.run(l.now + 50*time.Millisecond)
 	}
 	if took := l.now - at; took > 2*time.Second {
-		t.Errorf("known to %d after %v", l.know(99), took)
+		t.Errorf("known to %d after %v", l.countInformed(99), took)
 	}
 	if slices.ContainsFunc(l.nodes, func(x *inhabitant) bool { return x.weights[99] > 0.34 }) {
 		t.Error("one observer counts for more than one")
 	}
-	h.Recovered(h.here(), 99)
+	h.Recovered(h.localTime(), 99)
 	l.run(l.now + 2*time.Second)
-	if l.know(99) > 1 {
-		t.Errorf("%d still hold it", l.know(99))
+	if l.countInformed(99) > 1 {
+		t.Errorf("%d still hold it", l.countInformed(99))
 	}
 	l.run(l.now + 30*time.Second) // who missed it hears when it compares tables
-	if l.know(99) > 0 {
-		t.Errorf("%d hold it for good", l.know(99))
+	if l.countInformed(99) > 0 {
+		t.Errorf("%d hold it for good", l.countInformed(99))
 	}
 }
 
@@ -247,19 +247,19 @@
 	l := newLand(t, 50, 3)
 	l.run(60 * time.Second)
 	h := l.nodes[20]
-	h.Symptom(h.here(), 99, Silent, 255)
+	h.Symptom(h.localTime(), 99, Silent, 255)
 	l.run(l.now + 2*time.Second)
 	h.down = true
 	l.run(l.now + 12*time.Second)
-	if got := l.standings(); got[IsDead] != 49 || got[IsSuspect] > 0 {
+	if got := l.countStatuses(); got[IsDead] != 49 || got[IsSuspect] > 0 {
 		t.Errorf("%v", got)
 	}
-	if l.know(99) > 0 {
-		t.Errorf("%d hold a rumour of a dead observer", l.know(99))
+	if l.countInformed(99) > 0 {
+		t.Errorf("%d hold a rumour of a dead observer", l.countInformed(99))
 	}
 	h.start(nil)
 	l.run(l.now + 30*time.Second)
-	if got := l.standings(); got[IsAlive] != 50*49 {
+	if got := l.countStatuses(); got[IsAlive] != 50*49 {
 		t.Errorf("after its return: %v", got)
 	}
 }
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -9,107 +9,109 @@
 // item is news: a claim, or a rumour where that is set. It is told a bounded number of times, the newest and least told
 // first.
 type item struct {
-	claim  Claim
-	rumour *entry
-	about  string // of a claim: whom it is of
-	told   int
-	at     time.Duration
+	claim         Claim
+	rumour        *entry
+	subject       string // of a claim: whom it is of
+	transmissions int
+	queuedAt      time.Duration
 }
 
 // done tells whether an item has been told often enough. Where each hearer tells k others drawn by chance, about one in
 // e^k hears nothing, however many there are. A rumour on a server is to reach nearly all within a second or two; who misses
 // a word on a member hears it at the next comparison of tables, and those words are long.
-func (i *item) done() bool { return i.told >= tellRumour || i.rumour == nil && i.told >= tellClaim }
+func (i *item) done() bool {
+	return i.transmissions >= tellRumour || i.rumour == nil && i.transmissions >= tellClaim
+}
 
 // replaces tells whether one item makes another stale.
 func (i *item) replaces(o *item) bool {
 	if i.rumour != nil || o.rumour != nil {
 		return i.rumour == o.rumour
 	}
-	if i.about != o.about || (i.claim.Kind == Accused) != (o.claim.Kind == Accused) {
-		return i.about == o.about && i.claim.Kind != Accused // what a member says of itself ends accusations
+	if i.subject != o.subject || (i.claim.Kind == Accused) != (o.claim.Kind == Accused) {
+		return i.subject == o.subject && i.claim.Kind != Accused // what a member says of itself ends accusations
 	}
 	return i.claim.Kind != Accused || i.claim.By == o.claim.By
 }
 
-// spread queues news. What it makes stale is told no more.
-func (n *Node) spread(now time.Duration, i item) {
-	if n.quiet {
+// queueUpdate queues news. What it makes stale is told no more.
+func (n *Node) queueUpdate(now time.Duration, i item) {
+	if n.inactive {
 		return
 	}
-	i.at = now
-	n.news = slices.DeleteFunc(n.news, func(o *item) bool { return i.replaces(o) })
-	if most := 2*n.set.Members + n.set.Rumours; len(n.news) >= most {
-		n.news = slices.Delete(n.news, 0, 1) // the oldest; a comparison of tables heals what is missed
+	i.queuedAt = now
+	n.updates = slices.DeleteFunc(n.updates, func(o *item) bool { return i.replaces(o) })
+	if most := 2*n.config.Members + n.config.Rumours; len(n.updates) >= most {
+		n.updates = slices.Delete(n.updates, 0, 1) // the oldest; a comparison of tables heals what is missed
 	}
-	n.news = append(n.news, &i)
+	n.updates = append(n.updates, &i)
 	n.nextTell = max(n.nextTell, now)
-	n.sooner(n.nextTell)
+	n.wakeBy(n.nextTell)
 }
 
-// unspread takes a rumour that has ended out of the news.
-func (n *Node) unspread(e *entry) {
-	n.news = slices.DeleteFunc(n.news, func(i *item) bool { return i.rumour == e })
+// dequeueRumour takes a rumour that has ended out of the news.
+func (n *Node) dequeueRumour(e *entry) {
+	n.updates = slices.DeleteFunc(n.updates, func(i *item) bool { return i.rumour == e })
 }
 
-// tell sends what is new to some members drawn by chance, as far as the byte budget allows.
-func (n *Node) tell(now time.Duration) {
-	n.nextTell = now + n.set.TellEvery
-	if len(n.news) == 0 || n.quiet || !n.joined {
+// sendUpdates sends what is new to some members drawn by chance, as far as the byte budget allows.
+func (n *Node) sendUpdates(now time.Duration) {
+	n.nextTell = now + n.config.TellEvery
+	if len(n.updates) == 0 || n.inactive || !n.joined {
 		return
 	}
-	for _, m := range n.some(n.set.DatagramsPerTell, func(m *member) bool { return m.state == alive }) {
-		if len(n.news) == 0 {
+	for _, m := range n.randomMembers(n.config.DatagramsPerTell, func(m *member) bool { return m.state == alive }) {
+		if len(n.updates) == 0 {
 			return
 		}
-		if !n.affords(now) {
+		if !n.withinBudget(now) {
 			n.counts.TellsPutOff++
 			return
 		}
-		n.send(now, m, n.loaded(now, m, &Message{Kind: Tell}))
+		n.send(now, m, n.withUpdates(now, m, &Message{Kind: Tell}))
 	}
 }
 
-// loaded fills a message with news, as much as fits into a datagram. Who may not know us is told who we are where an answer
+// withUpdates fills a message with news, as much as fits into a datagram. Who may not know us is told who we are where an answer
 // will show whether it does.
-func (n *Node) loaded(now time.Duration, to *member, msg *Message) *Message {
-	if msg.Kind != Tell && !to.knowsUs && !slices.ContainsFunc(msg.Claims, func(c Claim) bool { return c.Name == n.set.Name }) {
-		msg.Claims = append(msg.Claims, n.self(now))
+func (n *Node) withUpdates(now time.Duration, to *member, msg *Message) *Message {
+	if msg.Kind != Tell && !to.knowsUs && !slices.ContainsFunc(msg.Claims, func(c Claim) bool { return c.Name == n.config.Name }) {
+		msg.Claims = append(msg.Claims, n.selfClaim(now))
 	}
-	if len(n.news) == 0 || !n.affords(now) {
+	if len(n.updates) == 0 || !n.withinBudget(now) {
 		return msg
 	}
-	slices.SortStableFunc(n.news, func(a, b *item) int {
-		return cmp.Or(cmp.Compare(a.told, b.told), cmp.Compare(b.at, a.at))
+	slices.SortStableFunc(n.updates, func(a, b *item) int {
+		return cmp.Or(cmp.Compare(a.transmissions, b.transmissions), cmp.Compare(b.queuedAt, a.queuedAt))
 	})
-	room := n.set.Datagram + 28 - msg.Bytes()
-	n.fill(msg, to, &room, room/2, func(i *item) bool { return i.rumour == nil }, now) // members first: rumours hang on them
-	n.fill(msg, to, &room, room, func(i *item) bool { return i.rumour != nil }, now)
-	n.news = slices.DeleteFunc(n.news, (*item).done)
+	room := n.config.Datagram + 28 - msg.Bytes()
+	n.addUpdates(msg, to, &room, room/2, func(i *item) bool { return i.rumour == nil }, now) // members first: rumours hang on them
+	n.addUpdates(msg, to, &room, room, func(i *item) bool { return i.rumour != nil }, now)
+	n.updates = slices.DeleteFunc(n.updates, (*item).done)
 	return msg
 }
 
-// fill puts news of one kind into a message, as far as its part of the room goes.
-func (n *Node) fill(msg *Message, to *member, room *int, part int, kind func(*item) bool, now time.Duration) {
-	for _, i := range n.news {
+// addUpdates puts news of one kind into a message, as far as its part of the room goes.
+func (n *Node) addUpdates(msg *Message, to *member, room *int, part int, kind func(*item) bool, now time.Duration) {
+	for _, i := range n.updates {
 		if !kind(i) {
 			continue
 		}
 		switch {
 		case i.rumour != nil:
-			if size := i.rumour.bytes(); size <= part {
+			if size := i.rumour.maxBytes(); size <= part {
 				part -= size
 				*room -= size
-				i.told++
+				i.transmissions++
 				msg.Rumours = append(msg.Rumours, Told{i.rumour.Rumour, i.rumour.age(now)})
 			}
-		case i.about == to.name && i.claim.Kind != Accused:
-			i.told++ // it knows that best
+		case i.subject == to.name && i.claim.Kind != Accused:
+			i.transmissions++ // it knows that best
 		default:
-			if size := i.claim.bytes(); size <= part {
+			if size := i.claim.maxBytes(); size <= part {
 				part -= size
 				*room -= size
-				i.told++
+				i.transmissions++
 				msg.Claims = append(msg.Claims, i.claim)
 			}
 		}
@@ -131,12 +133,12 @@
 
 // charge takes bytes from the budget, which time fills up.
 func (n *Node) charge(now time.Duration, bytes int) {
-	n.spent = max(0, n.spent-float64(n.set.BytesPerSecond)*(now-n.spentAt).Seconds()) + float64(bytes)
-	n.spentAt = now
+	n.budgetUsed = max(0, n.budgetUsed-float64(n.config.BytesPerSecond)*(now-n.budgetUpdatedAt).Seconds()) + float64(bytes)
+	n.budgetUpdatedAt = now
 }
 
-// affords tells whether the budget has room for a full datagram.
-func (n *Node) affords(now time.Duration) bool {
+// withinBudget tells whether the budget has room for a full datagram.
+func (n *Node) withinBudget(now time.Duration) bool {
 	n.charge(now, 0)
-	return n.spent+float64(n.set.Datagram) <= float64(max(burst*n.set.BytesPerSecond, 2*n.set.Datagram))
+	return n.budgetUsed+float64(n.config.Datagram) <= float64(max(burst*n.config.BytesPerSecond, 2*n.config.Datagram))
 }
