--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -49,16 +49,16 @@
 
 // Ratios that fit any setup.
 const (
-	helpers      = 3  // members asked to probe one that does not answer
-	checksARound = 6  // members probed beside the regular one because of what others say or of an earlier failure
-	accusers     = 3  // that are kept, and passed on, for one member
-	accusedByOne = 8  // members that one other accuses at a time, as far as it is listened to
-	mostFalse    = 6  // accusations of late that turned out false here, after which another is not listened to
-	mostDoubt    = 8  // steps by which a node may slow itself down
-	tellRumour   = 7  // times that an instance tells a rumour
-	tellClaim    = 4  // and a word on a member
-	deadKept     = 90 // probe rounds for which a dead member's name is kept at least, in case its word still goes round
-	burst        = 1  // seconds of the byte budget that may be spent at once
+	probeHelpers        = 3  // members asked to probe one that does not answer
+	maxChecksPerRound   = 6  // members probed beside the regular one because of what others say or of an earlier failure
+	maxAccusers         = 3  // that are kept, and passed on, for one member
+	maxAccusedByOne     = 8  // members that one other accuses at a time, as far as it is listened to
+	maxFalseAccusations = 6  // accusations of late that turned out false here, after which another is not listened to
+	maxHealthScore      = 8  // steps by which a node may slow itself down
+	rumourTransmissions = 7  // times that an instance tells a rumour
+	claimTransmissions  = 4  // and a word on a member
+	deadRetentionRounds = 90 // probe rounds for which a dead member's name is kept at least, in case its word still goes round
+	budgetBurstSeconds  = 1  // seconds of the byte budget that may be spent at once
 )
 
 // Node is one instance's part in the gossip.
@@ -90,11 +90,11 @@
 	probeOrder       []*member // yet to be probed in this turn
 	probes           []*probe  // out
 	checks           []*member // to be probed soon
-	relayedPings     []*errand
-	updates          []*item // to be told
-	rumours          table   // of rumours
-	lastRumourNumber uint32  // of its own rumours
-	serverCount      int     // that the module knows of
+	relayedPings     []*relayedPing
+	updates          []*update   // to be told
+	rumours          rumourTable // of rumours
+	lastRumourNumber uint32      // of its own rumours
+	serverCount      int         // that the module knows of
 	serversByID      map[uint64]*server
 	serverOrder      []*server
 	counts           Counts
@@ -144,7 +144,7 @@
 		n.syncWithRandomMember(now)
 	}
 	if now >= n.nextSweep {
-		n.nextSweep = now + n.config.ProbeEvery/holdOff
+		n.nextSweep = now + n.config.ProbeEvery/symptomDelayDivisor
 		n.sweep(now)
 	}
 	if now >= n.nextTell {
@@ -197,7 +197,7 @@
 		return
 	}
 	n.counts.Paused++
-	n.healthScore = min(mostDoubt, n.healthScore+2)
+	n.healthScore = min(maxHealthScore, n.healthScore+2)
 	n.probes, n.relayedPings = nil, nil
 	for _, m := range n.members {
 		if m.state == suspect {
@@ -208,7 +208,9 @@
 }
 
 // adjustHealthScore makes the node slower to judge, or faster again: who sees many fail is likely to be the one in trouble.
-func (n *Node) adjustHealthScore(by int) { n.healthScore = max(0, min(mostDoubt, n.healthScore+by)) }
+func (n *Node) adjustHealthScore(by int) {
+	n.healthScore = max(0, min(maxHealthScore, n.healthScore+by))
+}
 
 // scaled is a time that grows with the node's doubt in itself.
 func (n *Node) scaled(d time.Duration) time.Duration { return d * time.Duration(1+n.healthScore) }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-type state uint8
+type memberState uint8
 
 // The states of a member, each this instance's own judgement: nobody is held dead because others say so.
 const (
-	alive state = iota
+	alive memberState = iota
 	suspect
 	dead
 	left
@@ -24,13 +24,13 @@
 	run                uint64
 	addr               netip.AddrPort
 	claim              Claim // the newest of itself, to be passed on
-	state              state
+	state              memberState
 	since              time.Duration // of the state
 	lastHeardAt        time.Duration // when it last proved to be there, to this instance
 	knowsUs            bool          // it has sent us something, so it need not be told who we are
 	clockOffset        time.Duration // its clock less ours, at least
 	clockKnown         bool          // ahead is known from a datagram of its own
-	received           window        // of its datagrams in this run
+	received           replayWindow  // of its datagrams in this run
 	failedProbes       int           // own probes in a row that it did not answer
 	checkQueued        bool          // it stands in checks
 	retryAt            time.Duration // when a dead one is tried again
@@ -56,13 +56,13 @@
 }
 
 // window knows which datagrams of a run have come: the newest number, and the 64 before it.
-type window struct {
+type replayWindow struct {
 	newest uint64
 	mask   uint64
 }
 
 // take notes a number; false if it has come before or is too old to tell.
-func (w *window) take(number uint64) bool {
+func (w *replayWindow) accept(number uint64) bool {
 	switch {
 	case number == 0:
 		return false
@@ -117,7 +117,7 @@
 			return
 		}
 	}
-	if !m.received.take(d.Counter) {
+	if !m.received.accept(d.Counter) {
 		n.counts.Replayed++
 		return
 	}
@@ -178,7 +178,7 @@
 }
 
 func (m *member) falseAccusationsNow(now time.Duration) float64 {
-	return fade(m.falseAccusations, now-m.falseAccusationsAt, fadeTime)
+	return decay(m.falseAccusations, now-m.falseAccusationsAt, creditDecayTime)
 }
 
 // handleClaim takes a claim; viaSync tells that it came in a comparison of tables.
@@ -198,7 +198,7 @@
 // handleOwnClaim takes what a member says of itself.
 func (n *Node) handleOwnClaim(now time.Duration, c *Claim, viaSync bool) {
 	m := n.byName[c.Name]
-	if m != nil && !newer(c, &m.claim) {
+	if m != nil && !supersedes(c, &m.claim) {
 		n.counts.StaleClaims++
 		if m.run == c.Run && c.Clock > m.claim.Clock && c.Incarnation == m.claim.Incarnation && c.Kind == m.claim.Kind {
 			n.handleFreshClaim(now, m, c)
@@ -231,7 +231,7 @@
 	}
 	if m.run != c.Run {
 		// Another run has other numbers and another clock, and what the earlier one said ends with it.
-		m.run, m.received, m.clockKnown, m.knowsUs = c.Run, window{}, false, false
+		m.run, m.received, m.clockKnown, m.knowsUs = c.Run, replayWindow{}, false, false
 		n.rumours.removeAllOf(n, now, m)
 		if m.state == dead || m.state == suspect { // that was the run before; whether this one is there will show
 			m.state, m.since, m.failedProbes = alive, now, 0
@@ -255,12 +255,12 @@
 			m.state, m.since = alive, now // under a new incarnation it has come back
 		}
 	}
-	n.queueUpdate(now, item{claim: *c, subject: m.name})
+	n.queueUpdate(now, update{claim: *c, subject: m.name})
 }
 
 // newer tells whether a claim of a member makes another void. Runs that took the same incarnation are told apart by their
 // number, so that all agree in the end.
-func newer(c, than *Claim) bool {
+func supersedes(c, than *Claim) bool {
 	if c.Incarnation != than.Incarnation {
 		return c.Incarnation > than.Incarnation
 	}
@@ -314,7 +314,7 @@
 }
 
 // markGone ends a member; its rumours end with it.
-func (n *Node) markGone(now time.Duration, m *member, how state) {
+func (n *Node) markGone(now time.Duration, m *member, how memberState) {
 	if m.state == how {
 		return
 	}
@@ -346,13 +346,13 @@
 		}
 	}
 	// Whoever has been heard of since it was made is there, which is no lie: it may have been away before.
-	if by.falseAccusationsNow(now) >= mostFalse || len(m.accusedBy) >= accusers || pending >= accusedByOne ||
+	if by.falseAccusationsNow(now) >= maxFalseAccusations || len(m.accusedBy) >= maxAccusers || pending >= maxAccusedByOne ||
 		m.lastHeardAt > now-(by.clock(now)-c.Clock) {
 		n.counts.AccusationsIgnored++
 		return
 	}
 	m.accusedBy = append(m.accusedBy, accuser{c.By, now})
-	n.queueUpdate(now, item{claim: *c, subject: m.name})
+	n.queueUpdate(now, update{claim: *c, subject: m.name})
 	n.queueCheck(m)
 	if m.state == suspect {
 		n.applyConfirmations(now, m)
@@ -372,10 +372,10 @@
 		m.state, m.since = suspect, now
 		m.suspectUntil = now + 2*n.scaled(n.config.SuspectFor)
 		n.applyConfirmations(now, m)
-		if len(m.accusedBy) < accusers && !n.inactive {
+		if len(m.accusedBy) < maxAccusers && !n.inactive {
 			c := Claim{Kind: Accused, Name: m.name, Incarnation: m.claim.Incarnation, By: n.config.Name, Key: n.own.Key, Run: n.own.Run, Clock: now}
 			m.accusedBy = append(m.accusedBy, accuser{n.config.Name, now})
-			n.queueUpdate(now, item{claim: c, subject: m.name})
+			n.queueUpdate(now, update{claim: c, subject: m.name})
 		}
 		n.queueCheck(m)
 	case suspect:
@@ -423,7 +423,7 @@
 			n.own.Incarnation = c.Incarnation
 			n.bumpIncarnation(now)
 		}
-	case newer(c, &n.own):
+	case supersedes(c, &n.own):
 		if !n.inactive {
 			n.counts.OwnName++
 			n.host.Log("name_taken", c.Addr.String())
@@ -438,7 +438,7 @@
 func (n *Node) bumpIncarnation(now time.Duration) {
 	n.own.Incarnation++
 	if n.joined {
-		n.queueUpdate(now, item{claim: n.selfClaim(now), subject: n.config.Name})
+		n.queueUpdate(now, update{claim: n.selfClaim(now), subject: n.config.Name})
 	}
 }
 
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -102,25 +102,25 @@
 
 // What items take in a datagram at most, in bytes. The codec's test holds these to account.
 const (
-	datagramBytes = 28 + 140 // headers of IP and UDP, ours, both proofs, and the message around its items
-	claimBytes    = 245      // with the certificate of who signed it
-	accusedBytes  = 120
-	rumourBytes   = 125
-	streamBytes   = 400 // a stream's own packets and both sides' proofs
+	maxDatagramOverheadBytes = 28 + 140 // headers of IP and UDP, ours, both proofs, and the message around its items
+	maxClaimBytes            = 245      // with the certificate of who signed it
+	maxAccusationBytes       = 120
+	maxRumourBytes           = 125
+	maxStreamOverheadBytes   = 400 // a stream's own packets and both sides' proofs
 )
 
 func (c *Claim) maxBytes() int {
 	if c.Kind == Accused {
-		return accusedBytes + len(c.Name)
+		return maxAccusationBytes + len(c.Name)
 	}
-	return claimBytes + 2*len(c.Name)
+	return maxClaimBytes + 2*len(c.Name)
 }
 
-func (r *Rumour) maxBytes() int { return rumourBytes }
+func (r *Rumour) maxBytes() int { return maxRumourBytes }
 
 // Bytes is what the message takes on the wire at most, headers of IP and UDP included.
 func (m *Message) Bytes() int {
-	n := datagramBytes + len(m.Target)
+	n := maxDatagramOverheadBytes + len(m.Target)
 	for i := range m.Claims {
 		n += m.Claims[i].maxBytes()
 	}
@@ -154,12 +154,12 @@
 
 // Bytes is what a digest takes on a stream.
 func (d *Digest) Bytes() int {
-	return streamBytes + d.Own.maxBytes() + 5*(len(d.Members)+len(d.Dead)+len(d.Rumours))
+	return maxStreamOverheadBytes + d.Own.maxBytes() + 5*(len(d.Members)+len(d.Dead)+len(d.Rumours))
 }
 
 // Bytes is what items take on a stream.
 func (i *Items) Bytes() int {
-	n := streamBytes + 5*(len(i.Wants)+len(i.Lacks)+len(i.Alive))
+	n := maxStreamOverheadBytes + 5*(len(i.Wants)+len(i.Lacks)+len(i.Alive))
 	for j := range i.Claims {
 		n += i.Claims[j].maxBytes()
 	}
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -24,7 +24,7 @@
 }
 
 // errand is a ping on behalf of another.
-type errand struct {
+type relayedPing struct {
 	number          uint32 // of our ping
 	target          *member
 	requesterNumber uint32 // number of the probe that it is for
@@ -46,7 +46,7 @@
 	checks := n.checks
 	n.checks = nil
 	for i, m := range checks {
-		if i >= checksARound {
+		if i >= maxChecksPerRound {
 			n.checks = append(n.checks, m)
 			continue
 		}
@@ -114,7 +114,7 @@
 		if p.indirectAt > 0 && now >= p.indirectAt {
 			p.indirectAt = 0
 			if p.target.state != dead { // one that is only tried again is not worth others' datagrams
-				for _, h := range n.randomMembers(helpers, func(h *member) bool { return h != p.target && h.state == alive }) {
+				for _, h := range n.randomMembers(probeHelpers, func(h *member) bool { return h != p.target && h.state == alive }) {
 					p.helpersAsked++
 					n.send(now, h, &Message{Kind: PingFor, Number: p.number, Target: p.target.name, TargetAt: p.target.addr})
 				}
@@ -136,7 +136,7 @@
 		}
 		n.handleProbeFailure(now, p.target)
 	}
-	n.relayedPings = slices.DeleteFunc(n.relayedPings, func(e *errand) bool {
+	n.relayedPings = slices.DeleteFunc(n.relayedPings, func(e *relayedPing) bool {
 		if !e.nacked && now >= e.nackAt {
 			e.nacked = true
 			n.send(now, e.requester, &Message{Kind: Nack, Number: e.requesterNumber})
@@ -161,15 +161,15 @@
 		if i := slices.IndexFunc(n.probes, func(p *probe) bool { return p.number == msg.Number && p.target == m }); i >= 0 {
 			n.probes = slices.Delete(n.probes, i, i+1)
 			n.adjustHealthScore(-1)
-		} else if i := slices.IndexFunc(n.relayedPings, func(e *errand) bool { return e.number == msg.Number && e.target == m }); i >= 0 {
+		} else if i := slices.IndexFunc(n.relayedPings, func(e *relayedPing) bool { return e.number == msg.Number && e.target == m }); i >= 0 {
 			e := n.relayedPings[i]
 			n.relayedPings = slices.Delete(n.relayedPings, i, i+1)
 			n.send(now, e.requester, &Message{Kind: Ack, Number: e.requesterNumber, Claims: []Claim{m.claim}})
 		}
 	case PingFor:
-		if to := n.byName[msg.Target]; to != nil && to != m && len(n.relayedPings) < 4*helpers && to.state != left {
+		if to := n.byName[msg.Target]; to != nil && to != m && len(n.relayedPings) < 4*probeHelpers && to.state != left {
 			n.lastProbeNumber++
-			n.relayedPings = append(n.relayedPings, &errand{number: n.lastProbeNumber, target: to, requesterNumber: msg.Number, requester: m,
+			n.relayedPings = append(n.relayedPings, &relayedPing{number: n.lastProbeNumber, target: to, requesterNumber: msg.Number, requester: m,
 				nackAt: now + n.config.ProbeTimeout, deadline: now + n.config.ProbeEvery})
 			n.send(now, to, &Message{Kind: Ping, Number: n.lastProbeNumber, Prove: true})
 		}
--- a/internal/gossip/rumour.go
+++ b/internal/gossip/rumour.go
@@ -23,11 +23,11 @@
 	id      uint64
 	entries []*entry // in the order in which they came
 	weight  float64  // last told to the module
-	own     symptom
+	own     ownSymptom
 }
 
 // symptom is this instance's own trouble with a server.
-type symptom struct {
+type ownSymptom struct {
 	Symptom
 	strength    uint8
 	since       time.Duration
@@ -37,20 +37,20 @@
 }
 
 // table holds rumours, by observer; by server they hang on the servers.
-type table struct {
+type rumourTable struct {
 	byObserver map[string][]*entry
 	observers  []string // in the order in which they came
 	size       int
 }
 
 const (
-	futureShare = 4   // part of a rumour's life by which it may seem to come from the future
-	enough      = 2.0 // weight of others' word beyond which this instance's own adds nothing
-	fewest      = 4   // servers of which one may always find all in trouble
-	lowCredit   = 0.1 // whose word is not passed on any more
-	hardly      = 0.05
-	leastPace   = 4 // rumours that anybody may make in a rumour's life
-	holdOff     = 4 // part of a probe round for which a symptom must last to be told
+	futureToleranceDivisor = 4   // part of a rumour's life by which it may seem to come from the future
+	sufficientWeight       = 2.0 // weight of others' word beyond which this instance's own adds nothing
+	alwaysPlausibleServers = 4   // servers of which one may always find all in trouble
+	minRelayCredit         = 0.1 // whose word is not passed on any more
+	minDifference          = 0.05
+	minRumourShare         = 4 // rumours that anybody may make in a rumour's life
+	symptomDelayDivisor    = 4 // part of a probe round for which a symptom must last to be told
 )
 
 // serverFor returns what is held serverFor a server, and makes it where it is not.
@@ -77,7 +77,7 @@
 		return
 	}
 	ahead := r.Made - m.clock(now)
-	if m.clockKnown && ahead > n.config.RumourLife/futureShare {
+	if m.clockKnown && ahead > n.config.RumourLife/futureToleranceDivisor {
 		n.counts.RumoursFuture++
 		m.addContradicted(now, 1)
 		return
@@ -103,7 +103,7 @@
 			had = e.Symptom != Well
 		}
 	}
-	if !m.allowRumour(now, max(leastPace, float64(n.config.RumoursPerObserver)*m.credit(now)), n.config.RumourLife) {
+	if !m.allowRumour(now, max(minRumourShare, float64(n.config.RumoursPerObserver)*m.credit(now)), n.config.RumourLife) {
 		n.counts.RumoursDropped++
 		return
 	}
@@ -124,8 +124,8 @@
 		m.addConfirmed(now, 0.25) // it tells what is known here already
 	}
 	// A liar's word goes no further, nor does the withdrawal of what nobody here has heard.
-	if m.credit(now) >= lowCredit && (had || e.Symptom != Well) {
-		n.queueUpdate(now, item{rumour: e})
+	if m.credit(now) >= minRelayCredit && (had || e.Symptom != Well) {
+		n.queueUpdate(now, update{rumour: e})
 	}
 	n.updateWeight(now, r.Server)
 }
@@ -144,7 +144,7 @@
 
 // makeRoom makes room for a rumour, or says that there is none. A share for each observer, few observers for each server,
 // and where the whole table is full the observer with the most in it gives way: whoever is loud displaces himself.
-func (t *table) makeRoom(n *Node, now time.Duration, e *entry) bool {
+func (t *rumourTable) makeRoom(n *Node, now time.Duration, e *entry) bool {
 	if mine := t.byObserver[e.Observer]; len(mine) >= n.config.RumoursPerObserver {
 		t.remove(n, mine[0])
 	}
@@ -160,7 +160,7 @@
 			}
 		}
 		if count >= n.config.ObserversPerServer {
-			if e.observer == nil || e.observer.credit(now) <= least.observer.credit(now)+hardly {
+			if e.observer == nil || e.observer.credit(now) <= least.observer.credit(now)+minDifference {
 				return e.observer == nil
 			}
 			t.remove(n, least)
@@ -186,7 +186,7 @@
 	return true
 }
 
-func (t *table) add(s *server, e *entry) {
+func (t *rumourTable) add(s *server, e *entry) {
 	s.entries = append(s.entries, e)
 	if len(t.byObserver[e.Observer]) == 0 {
 		t.observers = append(t.observers, e.Observer)
@@ -196,7 +196,7 @@
 }
 
 // remove takes an entry out. Settle follows for its server.
-func (t *table) remove(n *Node, e *entry) {
+func (t *rumourTable) remove(n *Node, e *entry) {
 	is := func(o *entry) bool { return o == e }
 	t.byObserver[e.Observer] = slices.DeleteFunc(t.byObserver[e.Observer], is)
 	if len(t.byObserver[e.Observer]) == 0 {
@@ -211,7 +211,7 @@
 }
 
 // removeAllOf drops all that a member has said.
-func (t *table) removeAllOf(n *Node, now time.Duration, m *member) {
+func (t *rumourTable) removeAllOf(n *Node, now time.Duration, m *member) {
 	for _, e := range slices.Clone(t.byObserver[m.name]) {
 		t.remove(n, e)
 		n.updateWeight(now, e.Server)
@@ -225,7 +225,7 @@
 	if s == nil {
 		return
 	}
-	if w := s.totalWeight(now); w != s.weight && (w == 0 || w-s.weight > hardly || s.weight-w > hardly) {
+	if w := s.totalWeight(now); w != s.weight && (w == 0 || w-s.weight > minDifference || s.weight-w > minDifference) {
 		s.weight = w
 		n.host.Rumoured(id, w)
 	}
@@ -260,7 +260,7 @@
 	}
 	if len(n.members) > 0 {
 		for _, m := range slices.Clone(n.members) {
-			if (m.state == left || m.state == dead) && now-m.since > deadKept*n.config.ProbeEvery && len(n.members) > n.config.Members/2 {
+			if (m.state == left || m.state == dead) && now-m.since > deadRetentionRounds*n.config.ProbeEvery && len(n.members) > n.config.Members/2 {
 				n.removeMember(m)
 			}
 		}
@@ -300,7 +300,7 @@
 		return
 	}
 	told := s.own.announced
-	s.own = symptom{}
+	s.own = ownSymptom{}
 	if told {
 		n.counts.RumoursWithdrawn++
 		n.addOwnRumour(now, s, Well, 0)
@@ -338,22 +338,22 @@
 // announceIfDue tells of the instance's own symptom, unless enough others do or it has reason to doubt itself; and tells again
 // what is half through its life.
 func (n *Node) announceIfDue(now time.Duration, s *server) {
-	if !n.joined || n.inactive || n.healthScore >= mostDoubt/2 {
+	if !n.joined || n.inactive || n.healthScore >= maxHealthScore/2 {
 		return
 	}
 	switch {
-	case now-s.own.since < n.config.ProbeEvery/holdOff: // where ops are many the next answer may end it
+	case now-s.own.since < n.config.ProbeEvery/symptomDelayDivisor: // where ops are many the next answer may end it
 		return
 	case s.own.announced && (now-s.own.announcedAt < n.config.RumourLife/2 || s.own.lastSeenAt <= s.own.announcedAt): // nothing new to say
 		return
 	case s.own.announcedAt > 0 && now-s.own.announcedAt < n.config.ProbeEvery, !s.own.announced && now-s.own.lastSeenAt > n.config.RumourLife/2:
 		return
 	}
-	if s.totalWeight(now) >= enough {
+	if s.totalWeight(now) >= sufficientWeight {
 		s.own.announced = false // it ends by its age
 		return
 	}
-	if sick := n.countTroubledServers(); sick > fewest && 2*sick > n.serverCount {
+	if sick := n.countTroubledServers(); sick > alwaysPlausibleServers && 2*sick > n.serverCount {
 		return // most of all servers in trouble is most likely a trouble of this instance's own
 	}
 	n.addOwnRumour(now, s, s.own.Symptom, s.own.strength)
@@ -383,5 +383,5 @@
 	}
 	n.counts.RumoursMade++
 	n.rumours.add(s, e)
-	n.queueUpdate(now, item{rumour: e})
+	n.queueUpdate(now, update{rumour: e})
 }
--- a/internal/gossip/sim_test.go
+++ b/internal/gossip/sim_test.go
@@ -11,13 +11,13 @@
 )
 
 // land is a small network in virtual time for the tests of this package; the emulator has a larger one.
-type land struct {
+type simNetwork struct {
 	t          *testing.T
 	now        time.Duration
 	seq        int
 	queue      events
 	rng        *rand.Rand
-	nodes      []*inhabitant
+	nodes      []*simNode
 	loss       float64
 	blocked    func(from, to int) bool
 	onDelivery func(from, to int, m *Message)
@@ -44,9 +44,9 @@
 }
 
 // inhabitant is one instance; it is the node's Host.
-type inhabitant struct {
+type simNode struct {
 	*Node
-	net         *land
+	net         *simNetwork
 	index       int
 	startedAt   time.Duration // when this run started
 	run         uint64
@@ -59,14 +59,14 @@
 	bytes       int
 }
 
-func addrOf(i int) netip.AddrPort {
+func nodeAddr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7946)
 }
 
-func newLand(t *testing.T, count int, seed uint64) *land {
-	l := &land{t: t, rng: rand.New(rand.NewPCG(seed, 7))}
+func newSimNetwork(t *testing.T, count int, seed uint64) *simNetwork {
+	l := &simNetwork{t: t, rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range count {
-		h := &inhabitant{net: l, index: i}
+		h := &simNode{net: l, index: i}
 		l.nodes = append(l.nodes, h)
 		h.start(nil)
 	}
@@ -74,11 +74,11 @@
 }
 
 // start makes a run of the instance that knows nothing of earlier ones.
-func (h *inhabitant) start(change func(*Setup)) {
+func (h *simNode) start(change func(*Setup)) {
 	h.run = h.net.rng.Uint64()
 	h.startedAt, h.counter, h.down, h.weights = h.net.now, 0, false, map[uint64]float64{}
-	s := Setup{Name: fmt.Sprintf("n%03d", h.index), Key: KeyID{byte(h.index >> 8), byte(h.index), 1}, Run: h.run, Seed: uint64(h.index), Addr: addrOf(h.index),
-		Seeds: []netip.AddrPort{addrOf(0), addrOf(1)}, ProbeEvery: time.Second, ProbeTimeout: 400 * time.Millisecond,
+	s := Setup{Name: fmt.Sprintf("n%03d", h.index), Key: KeyID{byte(h.index >> 8), byte(h.index), 1}, Run: h.run, Seed: uint64(h.index), Addr: nodeAddr(h.index),
+		Seeds: []netip.AddrPort{nodeAddr(0), nodeAddr(1)}, ProbeEvery: time.Second, ProbeTimeout: 400 * time.Millisecond,
 		SuspectFor: 4 * time.Second, TellEvery: 200 * time.Millisecond, SyncEvery: 20 * time.Second, RumourLife: 30 * time.Second,
 		Members: 512, Rumours: 2048, RumoursPerObserver: 64, ObserversPerServer: 5, Datagram: 1200, DatagramsPerTell: 3, BytesPerSecond: 8000}
 	if change != nil {
@@ -93,14 +93,14 @@
 	})
 }
 
-func (h *inhabitant) localTime() time.Duration { return h.net.now - h.startedAt }
+func (h *simNode) localTime() time.Duration { return h.net.now - h.startedAt }
 
-func (l *land) schedule(at time.Duration, do func()) {
+func (l *simNetwork) schedule(at time.Duration, do func()) {
 	l.seq++
 	heap.Push(&l.queue, event{at, l.seq, do})
 }
 
-func (l *land) run(until time.Duration) {
+func (l *simNetwork) run(until time.Duration) {
 	for len(l.queue) > 0 && l.queue[0].at <= until {
 		e := heap.Pop(&l.queue).(event)
 		l.now = e.at
@@ -110,7 +110,7 @@
 }
 
 // scheduleHere does something at an instance, later if it is paused, never if it has gone meanwhile.
-func (h *inhabitant) scheduleHere(after time.Duration, do func()) {
+func (h *simNode) scheduleHere(after time.Duration, do func()) {
 	n := h.Node
 	var try func()
 	try = func() {
@@ -125,11 +125,11 @@
 	h.net.schedule(h.net.now+after, try)
 }
 
-func (l *land) randomDelay() time.Duration {
+func (l *simNetwork) randomDelay() time.Duration {
 	return time.Duration(500+l.rng.IntN(2000)) * time.Microsecond
 }
 
-func (l *land) nodeAt(at netip.AddrPort) *inhabitant {
+func (l *simNetwork) nodeAt(at netip.AddrPort) *simNode {
 	a := at.Addr().As4()
 	if i := int(a[2])<<8 | int(a[3]); i < len(l.nodes) {
 		return l.nodes[i]
@@ -137,7 +137,7 @@
 	return nil
 }
 
-func (h *inhabitant) Datagram(to netip.AddrPort, _ KeyID, m *Message) {
+func (h *simNode) Datagram(to netip.AddrPort, _ KeyID, m *Message) {
 	l, x := h.net, h.net.nodeAt(to)
 	h.counter++
 	h.bytes += m.Bytes()
@@ -157,14 +157,14 @@
 	}
 }
 
-func (h *inhabitant) Exchange(with netip.AddrPort, d *Digest) {
+func (h *simNode) Exchange(with netip.AddrPort, d *Digest) {
 	l, x := h.net, h.net.nodeAt(with)
 	if x == nil || x.down || l.blocked != nil && (l.blocked(h.index, x.index) || l.blocked(x.index, h.index)) {
 		h.scheduleHere(time.Second, func() { h.ExchangeFailed(h.localTime(), with) })
 		return
 	}
 	x.scheduleHere(l.randomDelay(), func() {
-		items := x.Asked(x.localTime(), d, addrOf(h.index).Addr())
+		items := x.Asked(x.localTime(), d, nodeAddr(h.index).Addr())
 		h.scheduleHere(l.randomDelay(), func() {
 			if give := h.Exchanged(h.localTime(), items); give != nil {
 				x.scheduleHere(l.randomDelay(), func() { x.Given(x.localTime(), give) })
@@ -173,7 +173,7 @@
 	})
 }
 
-func (h *inhabitant) Wake(at time.Duration) {
+func (h *simNode) Wake(at time.Duration) {
 	h.wakeSeq++
 	wake := h.wakeSeq
 	h.scheduleHere(max(0, at-h.localTime()), func() {
@@ -183,11 +183,11 @@
 	})
 }
 
-func (h *inhabitant) Rumoured(server uint64, weight float64) { h.weights[server] = weight }
-func (h *inhabitant) Log(event, name string)                 { h.log = append(h.log, event+" "+name) }
+func (h *simNode) Rumoured(server uint64, weight float64) { h.weights[server] = weight }
+func (h *simNode) Log(event, name string)                 { h.log = append(h.log, event+" "+name) }
 
 // countStatuses counts, over all instances that run, how they hold the others.
-func (l *land) countStatuses() map[Standing]int {
+func (l *simNetwork) countStatuses() map[Standing]int {
 	all := map[Standing]int{}
 	for _, h := range l.nodes {
 		if !h.down {
@@ -200,7 +200,7 @@
 }
 
 // countInformed counts who is told of a server.
-func (l *land) countInformed(server uint64) (count int) {
+func (l *simNetwork) countInformed(server uint64) (count int) {
 	for _, h := range l.nodes {
 		if !h.down && h.weights[server] > 0 {
 			count++
@@ -209,16 +209,16 @@
 	return count
 }
 
-func TestAllFindOneAnotherThroughASeed(t *testing.T) {
-	l := newLand(t, 50, 1)
+func TestMembersDiscoverEachOtherThroughSeed(t *testing.T) {
+	l := newSimNetwork(t, 50, 1)
 	l.run(60 * time.Second)
 	if got := l.countStatuses(); got[IsAlive] != 50*49 || len(got) != 1 {
 		t.Errorf("%v", got)
 	}
 }
 
-func TestARumourReachesAllAndItsWithdrawalToo(t *testing.T) {
-	l := newLand(t, 50, 2)
+func TestRumourAndWithdrawalReachAllMembers(t *testing.T) {
+	l := newSimNetwork(t, 50, 2)
 	l.run(60 * time.Second)
 	h := l.nodes[7]
 	h.Symptom(h.localTime(), 99, Silent, 255)
@@ -229,7 +229,7 @@
 	if took := l.now - at; took > 2*time.Second {
 		t.Errorf("known to %d after %v", l.countInformed(99), took)
 	}
-	if slices.ContainsFunc(l.nodes, func(x *inhabitant) bool { return x.weights[99] > 0.34 }) {
+	if slices.ContainsFunc(l.nodes, func(x *simNode) bool { return x.weights[99] > 0.34 }) {
 		t.Error("one observer counts for more than one")
 	}
 	h.Recovered(h.localTime(), 99)
@@ -243,8 +243,8 @@
 	}
 }
 
-func TestADeadMemberIsFoundByAll(t *testing.T) {
-	l := newLand(t, 50, 3)
+func TestAllMembersDetectDeadMember(t *testing.T) {
+	l := newSimNetwork(t, 50, 3)
 	l.run(60 * time.Second)
 	h := l.nodes[20]
 	h.Symptom(h.localTime(), 99, Silent, 255)
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -8,7 +8,7 @@
 
 // item is news: a claim, or a rumour where that is set. It is told a bounded number of times, the newest and least told
 // first.
-type item struct {
+type update struct {
 	claim         Claim
 	rumour        *entry
 	subject       string // of a claim: whom it is of
@@ -19,12 +19,12 @@
 // done tells whether an item has been told often enough. Where each hearer tells k others drawn by chance, about one in
 // e^k hears nothing, however many there are. A rumour on a server is to reach nearly all within a second or two; who misses
 // a word on a member hears it at the next comparison of tables, and those words are long.
-func (i *item) done() bool {
-	return i.transmissions >= tellRumour || i.rumour == nil && i.transmissions >= tellClaim
+func (i *update) done() bool {
+	return i.transmissions >= rumourTransmissions || i.rumour == nil && i.transmissions >= claimTransmissions
 }
 
 // replaces tells whether one item makes another stale.
-func (i *item) replaces(o *item) bool {
+func (i *update) replaces(o *update) bool {
 	if i.rumour != nil || o.rumour != nil {
 		return i.rumour == o.rumour
 	}
@@ -35,12 +35,12 @@
 }
 
 // queueUpdate queues news. What it makes stale is told no more.
-func (n *Node) queueUpdate(now time.Duration, i item) {
+func (n *Node) queueUpdate(now time.Duration, i update) {
 	if n.inactive {
 		return
 	}
 	i.queuedAt = now
-	n.updates = slices.DeleteFunc(n.updates, func(o *item) bool { return i.replaces(o) })
+	n.updates = slices.DeleteFunc(n.updates, func(o *update) bool { return i.replaces(o) })
 	if most := 2*n.config.Members + n.config.Rumours; len(n.updates) >= most {
 		n.updates = slices.Delete(n.updates, 0, 1) // the oldest; a comparison of tables heals what is missed
 	}
@@ -51,7 +51,7 @@
 
 // dequeueRumour takes a rumour that has ended out of the news.
 func (n *Node) dequeueRumour(e *entry) {
-	n.updates = slices.DeleteFunc(n.updates, func(i *item) bool { return i.rumour == e })
+	n.updates = slices.DeleteFunc(n.updates, func(i *update) bool { return i.rumour == e })
 }
 
 // sendUpdates sends what is new to some members drawn by chance, as far as the byte budget allows.
@@ -81,18 +81,18 @@
 	if len(n.updates) == 0 || !n.withinBudget(now) {
 		return msg
 	}
-	slices.SortStableFunc(n.updates, func(a, b *item) int {
+	slices.SortStableFunc(n.updates, func(a, b *update) int {
 		return cmp.Or(cmp.Compare(a.transmissions, b.transmissions), cmp.Compare(b.queuedAt, a.queuedAt))
 	})
 	room := n.config.Datagram + 28 - msg.Bytes()
-	n.addUpdates(msg, to, &room, room/2, func(i *item) bool { return i.rumour == nil }, now) // members first: rumours hang on them
-	n.addUpdates(msg, to, &room, room, func(i *item) bool { return i.rumour != nil }, now)
-	n.updates = slices.DeleteFunc(n.updates, (*item).done)
+	n.addUpdates(msg, to, &room, room/2, func(i *update) bool { return i.rumour == nil }, now) // members first: rumours hang on them
+	n.addUpdates(msg, to, &room, room, func(i *update) bool { return i.rumour != nil }, now)
+	n.updates = slices.DeleteFunc(n.updates, (*update).done)
 	return msg
 }
 
 // addUpdates puts news of one kind into a message, as far as its part of the room goes.
-func (n *Node) addUpdates(msg *Message, to *member, room *int, part int, kind func(*item) bool, now time.Duration) {
+func (n *Node) addUpdates(msg *Message, to *member, room *int, part int, kind func(*update) bool, now time.Duration) {
 	for _, i := range n.updates {
 		if !kind(i) {
 			continue
@@ -115,7 +115,7 @@
 				msg.Claims = append(msg.Claims, i.claim)
 			}
 		}
-		if part < accusedBytes {
+		if part < maxAccusationBytes {
 			return
 		}
 	}
@@ -140,5 +140,5 @@
 // withinBudget tells whether the budget has room for a full datagram.
 func (n *Node) withinBudget(now time.Duration) bool {
 	n.charge(now, 0)
-	return n.budgetUsed+float64(n.config.Datagram) <= float64(max(burst*n.config.BytesPerSecond, 2*n.config.Datagram))
+	return n.budgetUsed+float64(n.config.Datagram) <= float64(max(budgetBurstSeconds*n.config.BytesPerSecond, 2*n.config.Datagram))
 }
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -9,9 +9,9 @@
 
 // Bounds on one comparison of tables. What is left over follows in the next one.
 const (
-	digestRumours = 256
-	answerBytes   = 6 << 10
-	answerLeast   = 1 << 10 // that a comparison brings at least, however short the budget is
+	maxDigestRumours = 256
+	maxAnswerBytes   = 6 << 10
+	minAnswerBytes   = 1 << 10 // that a comparison brings at least, however short the budget is
 )
 
 // fingerprint stands for the newest claim of a member.
@@ -25,12 +25,12 @@
 }
 
 // nameMark stands for a name.
-func nameMark(hash uint64) Mark { return Mark(hash >> 17) }
+func nameFingerprint(hash uint64) Mark { return Mark(hash >> 17) }
 
 // answerBudget is how many bytes the budget leaves for an answer on a stream.
 func (n *Node) answerBudget(now time.Duration) int {
 	n.charge(now, 0)
-	return max(answerLeast, min(answerBytes, burst*n.config.BytesPerSecond-int(n.budgetUsed)))
+	return max(minAnswerBytes, min(maxAnswerBytes, budgetBurstSeconds*n.config.BytesPerSecond-int(n.budgetUsed)))
 }
 
 // join asks a seed, or somebody that is known already, for what it holds.
@@ -84,12 +84,12 @@
 	for _, m := range n.members {
 		d.Members = append(d.Members, m.fingerprint())
 		if m.state == dead {
-			d.Dead = append(d.Dead, nameMark(m.hash))
+			d.Dead = append(d.Dead, nameFingerprint(m.hash))
 		}
 	}
 	for _, name := range n.rumours.observers {
 		for _, e := range n.rumours.byObserver[name] {
-			if len(d.Rumours) < digestRumours {
+			if len(d.Rumours) < maxDigestRumours {
 				d.Rumours = append(d.Rumours, e.fingerprint())
 			}
 		}
@@ -114,7 +114,7 @@
 	} else if own.Name == n.config.Name {
 		n.handleClaimAboutSelf(now, &own)
 	}
-	theirs, missed := marks(d.Members), marks(d.Dead)
+	theirs, missed := fingerprintSet(d.Members), fingerprintSet(d.Dead)
 	room := n.answerBudget(now)
 	add := func(c Claim) {
 		if size := c.maxBytes(); size <= room {
@@ -126,7 +126,7 @@
 	if m := n.byName[own.Name]; m != nil && m.run != own.Run { // it is to know that its name was, or is, another's
 		add(m.claim)
 		if m.state == alive {
-			items.Alive = append(items.Alive, nameMark(m.hash))
+			items.Alive = append(items.Alive, nameFingerprint(m.hash))
 		}
 	}
 	// From a random place on, so that one who lacks much gets another part from each that it asks.
@@ -136,9 +136,9 @@
 		delete(theirs, m.fingerprint())
 		switch {
 		case m.name == own.Name:
-		case m.state == alive && missed[nameMark(m.hash)]:
-			items.Alive = append(items.Alive, nameMark(m.hash))
-		case m.state == dead && !missed[nameMark(m.hash)] && has:
+		case m.state == alive && missed[nameFingerprint(m.hash)]:
+			items.Alive = append(items.Alive, nameFingerprint(m.hash))
+		case m.state == dead && !missed[nameFingerprint(m.hash)] && has:
 			n.queueCheck(m) // they have contact with it, or have not missed it yet: look again
 		}
 		if !has && m.name != own.Name && m.state != dead {
@@ -163,7 +163,7 @@
 	return m.fingerprint()
 }
 
-func marks(all []Mark) map[Mark]bool {
+func fingerprintSet(all []Mark) map[Mark]bool {
 	set := make(map[Mark]bool, len(all))
 	for _, m := range all {
 		set[m] = true
@@ -174,7 +174,7 @@
 // compareRumours gives the rumours that another lacks, the youngest first and as far as there is room, and asks for those that
 // are lacking here.
 func (n *Node) compareRumours(now time.Duration, theirs []Mark, items *Items, room *int) {
-	has := marks(theirs)
+	has := fingerprintSet(theirs)
 	var missing []*entry
 	for _, name := range n.rumours.observers {
 		for _, e := range n.rumours.byObserver[name] {
@@ -213,7 +213,7 @@
 	}
 	n.learnAddr(now, who, items.SeenAt)
 	n.applyItems(now, items)
-	if slices.Contains(items.Alive, nameMark(hash(n.config.Name))) {
+	if slices.Contains(items.Alive, nameFingerprint(hash(n.config.Name))) {
 		return nil // another run holds our name there: nothing that we say would count
 	}
 	if !n.joined {
@@ -228,7 +228,7 @@
 	}
 	give := &Items{}
 	room := n.answerBudget(now)
-	wants, lacks := marks(items.Wants), marks(items.Lacks)
+	wants, lacks := fingerprintSet(items.Wants), fingerprintSet(items.Lacks)
 	for _, m := range n.members {
 		if wants[m.fingerprint()] && m.claim.maxBytes() <= room {
 			room -= m.claim.maxBytes()
@@ -268,9 +268,9 @@
 	for i := range items.Rumours {
 		n.handleRumour(now, &items.Rumours[i])
 	}
-	contact := marks(items.Alive)
+	contact := fingerprintSet(items.Alive)
 	for _, m := range n.members {
-		if m.state == dead && contact[nameMark(m.hash)] {
+		if m.state == dead && contact[nameFingerprint(m.hash)] {
 			n.queueCheck(m) // somebody has contact with it: look again
 		}
 	}
