--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,12 +1,13 @@
-// Package gossip decides, for one instance, who else is there and what it believes of what they say about servers.
+// Package gossip implements membership and shared suspicion between gateway instances, in the manner of SWIM and Lifeguard.
+// For one instance it decides which others are alive and how much weight their rumours about servers carry.
 //
-// It does no I/O, reads no clock and starts no goroutine: a carrier calls one method for each thing that happens, with the
-// span since the instance's start, and the node acts through its Host. The emulator calls the same methods in virtual time.
-// Everything that reaches it has been proved to come from whom it names; that is the carrier's part.
+// The package does no I/O, reads no clock and starts no goroutine: a carrier calls one method for each event, with the time
+// since the instance's start, and the node acts through its Host. The emulator calls the same methods in virtual time. The
+// carrier authenticates everything before it reaches the node.
 //
-// Its one principle is that hearsay never decides. What others say of a member makes this instance probe that member; what
-// they say of a server is weighed by how often each of them was borne out here, and handed to the decision module, which
-// may look sooner but not act on it alone. docs/gossip.md tells why.
+// Reports of others never decide on their own. An accusation makes this instance probe the accused member. A rumour about a
+// server is weighed by how often its observer has been confirmed here; the total goes to the decision module, which may
+// probe the server sooner because of it but must not act on it alone. docs/gossip.md gives the reasons.
 package gossip
 
 import (
@@ -17,99 +18,112 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Host is all that a node can do to the world. Calls return at once and never call back.
+// Host carries out a node's effects. Its methods return at once and never call back into the node.
 type Host interface {
-	// Datagram signs a message and sends it to the instance that holds a key. What it holds is not changed afterwards.
+	// Datagram signs a message and sends it to the instance that holds a key. The message is not changed afterwards.
 	Datagram(to netip.AddrPort, key KeyID, m *Message)
-	// Exchange asks the instance at an address to compare tables. Exchanged or ExchangeFailed follows.
+	// Exchange starts an anti-entropy exchange with the instance at an address. A call of ExchangeAnswered or
+	// ExchangeFailed follows.
 	Exchange(with netip.AddrPort, d *Digest)
-	// Wake wants Timer to be called at a time; a later call takes an earlier one's place.
+	// Wake requests a call of Timer at a time. A later call replaces an earlier one.
 	Wake(at time.Duration)
-	// Rumoured tells how many observers, weighed, now say that a server is in trouble; 0 when none does any more.
+	// WeightChanged reports the new sum of the weights of the observers that say that a server is in trouble; 0 means that
+	// none does any more.
 	Rumoured(server uint64, weight float64)
-	// Log tells what an operator would want to know. It is called seldom.
+	// Log reports an event that an operator wants to know of. It is called rarely.
 	Log(event, name string)
 }
 
-// Setup is what a node is told at its start.
+// Config holds the settings of a node.
 type Setup struct {
-	Name  string
-	Key   KeyID
-	Run   uint64 // drawn anew at each start, so that two runs under one name can be told apart
-	Seed  uint64 // of this node's chance
-	Addr  netip.AddrPort
-	Learn bool // Addr's host is not known: others tell from where they see us
-	Seeds []netip.AddrPort
-
-	ProbeEvery, ProbeTimeout, SuspectFor, TellEvery, SyncEvery, RumourLife time.Duration
-
-	Members, Rumours, RumoursPerObserver, ObserversPerServer int
-	Datagram, DatagramsPerTell, BytesPerSecond               int
+	Name  string           // unique among the instances
+	Key   KeyID            // of the key that signs the instance's claims and rumours
+	Run   uint64           // drawn anew at each start, so that two runs under one name can be told apart
+	Seed  uint64           // of the node's random numbers
+	Addr  netip.AddrPort   // under which the others reach the instance
+	Learn bool             // the host part of Addr is unknown and is learned from the others
+	Seeds []netip.AddrPort // instances through which the node joins
+
+	ProbeEvery   time.Duration // period of probe rounds
+	ProbeTimeout time.Duration // after which an unanswered probe is tried through other members
+	SuspectFor   time.Duration // how long a suspicion lasts that others share; one that nobody shares lasts twice as long
+	TellEvery    time.Duration // period of gossip rounds while there are updates to send
+	SyncEvery    time.Duration // mean period of anti-entropy exchanges
+	RumourLife   time.Duration // age at which a rumour expires
+
+	Members            int // bounds the members held, this instance included
+	Rumours            int // bounds the rumours held
+	RumoursPerObserver int // bounds the rumours held of one observer
+	ObserversPerServer int // bounds the observers whose rumours about one server are held
+
+	Datagram         int // bounds a datagram, in bytes, without the headers of IP and UDP
+	DatagramsPerTell int // members to which one gossip round sends
+	BytesPerSecond   int // budget of bytes sent
 }
 
-// Ratios that fit any setup.
+// Constants that do not depend on the configuration.
 const (
-	probeHelpers        = 3  // members asked to probe one that does not answer
-	maxChecksPerRound   = 6  // members probed beside the regular one because of what others say or of an earlier failure
-	maxAccusers         = 3  // that are kept, and passed on, for one member
-	maxAccusedByOne     = 8  // members that one other accuses at a time, as far as it is listened to
-	maxFalseAccusations = 6  // accusations of late that turned out false here, after which another is not listened to
-	maxHealthScore      = 8  // steps by which a node may slow itself down
-	rumourTransmissions = 7  // times that an instance tells a rumour
-	claimTransmissions  = 4  // and a word on a member
-	deadRetentionRounds = 90 // probe rounds for which a dead member's name is kept at least, in case its word still goes round
+	probeHelpers        = 3  // members asked to probe a member that does not answer
+	maxChecksPerRound   = 6  // members probed out of turn, because of an accusation or of an earlier failed probe
+	maxAccusers         = 3  // accusers that are kept, and passed on, for one member
+	maxAccusedByOne     = 8  // members that one accuser may accuse at a time; further accusations are ignored
+	maxFalseAccusations = 6  // recent accusations that proved false here, from which on an accuser is ignored
+	maxHealthScore      = 8  // bounds the health score, and so how far a node slows its probing down
+	rumourTransmissions = 7  // times that an instance sends a rumour
+	claimTransmissions  = 4  // times that an instance sends a claim
+	deadRetentionRounds = 90 // probe rounds for which a dead member is kept at least, as claims of it may still circulate
 	budgetBurstSeconds  = 1  // seconds of the byte budget that may be spent at once
 )
 
-// Node is one instance's part in the gossip.
+// Node is the state machine of one instance.
 type Node struct {
 	host   Host
 	config Setup
 	rng    *rand.Rand
 
-	own              Claim // what is said of itself; its incarnation is its newest
-	joined           bool  // it knows of no earlier run of its own that others still hold
-	inactive         bool  // another run holds its name, or it has left
-	joinAt           time.Duration
-	joinBackoff      time.Duration
-	observedAddrs    map[netip.Addr]map[string]bool // who sees us at which address
-	lastProbeNumber  uint32                         // of probes
-	healthScore      int                            // in itself, 0 to mostDoubt
-	lastActiveAt     time.Duration
-	refutedAt        time.Duration
-	wakeAt           time.Duration
+	own              Claim                          // the instance's claim about itself; holds its current incarnation
+	joined           bool                           // no earlier run of the instance is known that others still hold
+	inactive         bool                           // another run holds the instance's name, or the instance has left
+	joinAt           time.Duration                  // when the next attempt to join is due
+	joinBackoff      time.Duration                  // time from that attempt to the one after it
+	observedAddrs    map[netip.Addr]map[string]bool // by address of this instance, the names of those that see it there
+	lastProbeNumber  uint32
+	healthScore      int           // Lifeguard's local health, from 0 (healthy) to maxHealthScore
+	lastActiveAt     time.Duration // when Timer last ran or a pause was last detected
+	refutedAt        time.Duration // when the instance last refuted an accusation
+	wakeAt           time.Duration // for which Host.Wake was last called
 	nextProbe        time.Duration
 	nextTell         time.Duration
 	nextSync         time.Duration
 	nextSweep        time.Duration
-	budgetUsed       float64 // bytes beyond what time has paid for
+	budgetUsed       float64 // bytes sent that the budget has not yet made up for, as of budgetUpdatedAt
 	budgetUpdatedAt  time.Duration
-	members          []*member // in the order in which they came; the order of probing is shuffled from it
+	members          []*member // in order of arrival
 	byName           map[string]*member
 	byKey            map[KeyID]*member
-	probeOrder       []*member // yet to be probed in this turn
-	probes           []*probe  // out
-	checks           []*member // to be probed soon
+	probeOrder       []*member // those still to be probed in this pass, the next one last
+	probes           []*probe  // those in flight
+	checks           []*member // to be probed out of turn
 	relayedPings     []*relayedPing
-	updates          []*update   // to be told
-	rumours          rumourTable // of rumours
-	lastRumourNumber uint32      // of its own rumours
-	serverCount      int         // that the module knows of
+	updates          []*update // to be disseminated
+	rumours          rumourTable
+	lastRumourNumber uint32 // of the rumours of this instance
+	serverCount      int    // servers that the decision module knows of
 	serversByID      map[uint64]*server
-	serverOrder      []*server
+	serverOrder      []*server // serversByID in order of arrival
 	counts           Counts
 }
 
-// New makes a node. Start begins its work.
-func New(h Host, s Setup) *Node {
-	n := &Node{host: h, config: s, rng: rand.New(rand.NewPCG(s.Seed, s.Run)), byName: map[string]*member{}, byKey: map[KeyID]*member{},
+// New returns a node that does nothing until Start is called.
+func New(h Host, c Setup) *Node {
+	n := &Node{host: h, config: c, rng: rand.New(rand.NewPCG(c.Seed, c.Run)), byName: map[string]*member{}, byKey: map[KeyID]*member{},
 		serversByID: map[uint64]*server{}, observedAddrs: map[netip.Addr]map[string]bool{}}
 	n.rumours.byObserver = map[string][]*entry{}
-	n.own = Claim{Kind: Alive, Name: s.Name, By: s.Name, Key: s.Key, Run: s.Run, Incarnation: 1, Addr: s.Addr}
+	n.own = Claim{Kind: Alive, Name: c.Name, By: c.Name, Key: c.Key, Run: c.Run, Incarnation: 1, Addr: c.Addr}
 	return n
 }
 
-// Start begins: seeds are asked for what they know.
+// Start starts the node, which first joins through its seeds.
 func (n *Node) Start(now time.Duration) {
 	n.lastActiveAt, n.budgetUpdatedAt = now, now
 	n.joinBackoff = n.config.ProbeEvery
@@ -122,14 +136,15 @@
 	n.Timer(now)
 }
 
+// jitter draws a duration from 0 to d.
 func (n *Node) jitter(d time.Duration) time.Duration {
 	return time.Duration(n.rng.Int64N(int64(d) + 1))
 }
 
-// hash is by what a name goes in digests.
+// hash returns the hash by which digests identify a name.
 func hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Timer is called when the time has come that Wake asked for; calls at other times do no harm.
+// Timer is called at the time that Wake requested; calls at other times are harmless.
 func (n *Node) Timer(now time.Duration) {
 	n.detectPause(now)
 	if !n.joined && now >= n.joinAt {
@@ -154,7 +169,7 @@
 	n.scheduleWake(now)
 }
 
-// scheduleWake asks to be woken when the next thing is due.
+// scheduleWake requests a call of Timer for when the next action is due.
 func (n *Node) scheduleWake(now time.Duration) {
 	at := min(n.nextProbe, n.nextSync, n.nextSweep)
 	if !n.joined {
@@ -178,7 +193,7 @@
 	n.host.Wake(at)
 }
 
-// wakeBy asks to be woken at a time unless that will happen before.
+// wakeBy requests a call of Timer at a time unless an earlier call is due.
 func (n *Node) wakeBy(at time.Duration) {
 	if at < n.wakeAt {
 		n.wakeAt = at
@@ -186,8 +201,9 @@
 	}
 }
 
-// detectPause notices that the node itself stood still: then nobody else is to blame for what did not come, and what others
-// heard of it in the meantime is for it to put right.
+// detectPause detects that the node itself has been paused. Probes that went unanswered meanwhile are then no evidence
+// against others, so they are discarded and suspicions are extended by the pause. Accusations that others made meanwhile
+// are for this instance to refute.
 func (n *Node) detectPause(now time.Duration) {
 	gap := now - n.lastActiveAt
 	if n.wakeAt > 0 {
@@ -207,15 +223,16 @@
 	n.lastActiveAt = now
 }
 
-// adjustHealthScore makes the node slower to judge, or faster again: who sees many fail is likely to be the one in trouble.
-func (n *Node) adjustHealthScore(by int) {
-	n.healthScore = max(0, min(maxHealthScore, n.healthScore+by))
+// adjustHealthScore makes the node slower to judge others, or faster again: an instance that sees many failures is likely
+// to be the faulty one.
+func (n *Node) adjustHealthScore(delta int) {
+	n.healthScore = max(0, min(maxHealthScore, n.healthScore+delta))
 }
 
-// scaled is a time that grows with the node's doubt in itself.
+// scaled returns a duration multiplied by the health score plus one.
 func (n *Node) scaled(d time.Duration) time.Duration { return d * time.Duration(1+n.healthScore) }
 
-// Leave tells some members that this instance ends by plan, and falls silent.
+// Leave announces to some members that this instance leaves, and deactivates the node.
 func (n *Node) Leave(now time.Duration) {
 	if n.inactive {
 		return
@@ -229,16 +246,16 @@
 	n.inactive = true
 }
 
-// Rekey goes on under another key, whose certificate bears the same name.
+// Rekey switches the instance to another key, whose certificate has the same name.
 func (n *Node) Rekey(now time.Duration, key KeyID) {
 	n.own.Key = key
 	n.bumpIncarnation(now)
 	for _, s := range n.serverOrder {
-		s.own.announced = false // what the old key has signed ends with that key
+		s.own.announced = false // rumours signed by the old key end with it
 	}
 }
 
-// Expelled ends all that a key has said: its certificate no longer counts.
+// Expelled is called when the certificate of a key no longer counts. It removes the member with that key and its rumours.
 func (n *Node) Expelled(now time.Duration, key KeyID) {
 	if m := n.byKey[key]; m != nil {
 		n.counts.Expelled++
@@ -247,7 +264,7 @@
 	}
 }
 
-// Reseed tells where seeds are now.
+// SetSeeds replaces the addresses of the seeds.
 func (n *Node) Reseed(now time.Duration, seeds []netip.AddrPort) {
 	n.config.Seeds = seeds
 	if !n.joined {
@@ -255,7 +272,7 @@
 	}
 }
 
-// Weight is how many others, weighed, now say that a server is in trouble.
+// Weight returns the sum of the weights of the other observers that now say that a server is in trouble.
 func (n *Node) Weight(now time.Duration, server uint64) float64 {
 	if s := n.serversByID[server]; s != nil {
 		return s.weight
@@ -263,15 +280,16 @@
 	return 0
 }
 
-// Servers tells how many servers the module knows of: whoever finds most of them in trouble keeps that to itself.
+// SetServerCount sets how many servers the decision module knows of. An instance that finds most of them in trouble does
+// not announce it.
 func (n *Node) Servers(now time.Duration, count int) { n.serverCount = count }
 
-// randomMembers draws up to count distinct members that fit.
+// randomMembers draws up to count distinct members for which fits returns true.
 func (n *Node) randomMembers(count int, fits func(*member) bool) (drawn []*member) {
 	if len(n.members) == 0 {
 		return nil
 	}
-	// A few random tries find enough among many; a walk from a random place finds them among few.
+	// In a long list a few random draws suffice. Otherwise, or if they don't, a walk from a random index finds the rest.
 	start := n.rng.IntN(len(n.members))
 	if len(n.members) > 4*count {
 		for range 3 * count {
@@ -288,64 +306,87 @@
 	return drawn
 }
 
-func contains(all []*member, m *member) bool {
-	for _, x := range all {
-		if x == m {
+func contains(members []*member, m *member) bool {
+	for _, other := range members {
+		if other == m {
 			return true
 		}
 	}
 	return false
 }
 
-// Counts is what a node has counted since its start.
+// Counts holds what a node has counted since its start. The carrier derives names in the log from the names and the order
+// of its fields.
 type Counts struct {
-	Sent, SentBytes, Received                    int64
-	Replayed, Strange, StaleRun, OwnName         int64 // datagrams dropped: seen before, of nobody known, of an earlier run, under our name
-	StaleClaims, FutureClaims, ClaimsFull        int64
-	Accusations, AccusationsIgnored, Refutations int64
-	Suspected, Died, Revived, Expelled, Paused   int64
-	RumoursTaken, RumoursOld, RumoursFuture      int64
-	RumoursStrange, RumoursKnown, RumoursDropped int64 // of observers that are not members; held already; by a bound
-	RumoursMade, RumoursWithdrawn, RumoursHeld   int64
-	BorneOut, Contradicted                       int64
-	Syncs, SyncsFailed, TellsPutOff              int64
+	Sent               int64 // datagrams sent
+	SentBytes          int64 // bytes sent in datagrams and anti-entropy exchanges
+	Received           int64 // datagrams received, dropped ones included
+	Replayed           int64 // datagrams dropped as received before or too old to tell
+	Strange            int64 // datagrams dropped as from no known member, or not under its key
+	StaleRun           int64 // datagrams dropped as from a run of the sender that is not the one held
+	OwnName            int64 // datagrams dropped as sent under this instance's name, and times that another run has taken the name
+	StaleClaims        int64 // claims dropped as not newer than the one held, or as made by another than the member
+	FutureClaims       int64 // always 0: claims with a clock in the future are not counted
+	ClaimsFull         int64 // claims dropped for lack of room, for a key in use under another name, or as leaves of unknown members
+	Accusations        int64 // accusations received
+	AccusationsIgnored int64 // accusations received that had no effect
+	Refutations        int64 // accusations against this instance that it refuted
+	Suspected          int64 // members that this instance began to suspect
+	Died               int64 // members that this instance declared dead
+	Revived            int64 // dead members that proved to be alive
+	Expelled           int64 // members removed because their key no longer counts
+	Paused             int64 // pauses of this instance itself
+	RumoursTaken       int64 // rumours accepted
+	RumoursOld         int64 // rumours dropped as older than the life of a rumour
+	RumoursFuture      int64 // rumours dropped as made in the future by the observer's clock
+	RumoursStrange     int64 // rumours dropped as their observer is not a member that is alive or suspect, under that key and run
+	RumoursKnown       int64 // rumours dropped as held already, or as this instance's own
+	RumoursDropped     int64 // rumours dropped because of a bound on rate or room
+	RumoursMade        int64 // rumours made by this instance, withdrawals included
+	RumoursWithdrawn   int64 // rumours of this instance that it withdrew
+	RumoursHeld        int64 // rumours held now
+	BorneOut           int64 // rumours that this instance's own observations confirmed
+	Contradicted       int64 // times that an ack contradicted a rumour
+	Syncs              int64 // anti-entropy exchanges answered or completed
+	SyncsFailed        int64 // anti-entropy exchanges that failed
+	TellsPutOff        int64 // gossip rounds cut short because the byte budget was used up
 }
 
-// Counts gives a copy of the counters.
+// Counts returns a copy of the counters.
 func (n *Node) Counts() Counts {
 	c := n.counts
 	c.RumoursHeld = int64(n.rumours.size)
 	return c
 }
 
-// Standing is how this instance holds a member.
+// Status is the state of a member as this instance judges it.
 type Standing uint8
 
-// The standings.
+// The statuses.
 const (
-	IsAlive Standing = iota
-	IsSuspect
-	IsDead
-	HasLeft
+	IsAlive   Standing = iota // answers, as far as is known
+	IsSuspect                 // has failed a probe of this instance
+	IsDead                    // has stayed silent for the whole suspicion
+	HasLeft                   // has left by its own claim, or its key no longer counts
 )
 
-// Peer is a member as this instance holds it.
+// Peer describes a member as this instance holds it.
 type Peer struct {
 	Name     string
 	Key      KeyID
 	Addr     netip.AddrPort
 	Standing Standing
-	Credit   float64 // of what it says about servers, 0 to 1
+	Credit   float64 // weight of its rumours about servers, from 0 to 1
 }
 
-// Peers lists the members in the order in which they came, without the instance itself.
+// Peers lists the members in order of arrival, without the instance itself.
 func (n *Node) Peers() []Peer {
-	all := make([]Peer, len(n.members))
+	peers := make([]Peer, len(n.members))
 	for i, m := range n.members {
-		all[i] = Peer{m.name, m.key, m.addr, Standing(m.state), m.credit(n.lastActiveAt)}
+		peers[i] = Peer{m.name, m.key, m.addr, Standing(m.state), m.credit(n.lastActiveAt)}
 	}
-	return all
+	return peers
 }
 
-// Incarnation is the instance's own.
+// Incarnation returns the instance's own incarnation number.
 func (n *Node) Incarnation() uint32 { return n.own.Incarnation }
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
+// memberState is the state of a member.
 type memberState uint8
 
-// The states of a member, each this instance's own judgement: nobody is held dead because others say so.
+// The states of a member. Each is this instance's own judgement: reports of others alone make nobody dead.
 const (
 	alive memberState = iota
 	suspect
@@ -19,49 +20,54 @@
 // member is another instance.
 type member struct {
 	name               string
-	hash               uint64
+	hash               uint64 // of the name
 	key                KeyID
 	run                uint64
 	addr               netip.AddrPort
-	claim              Claim // the newest of itself, to be passed on
+	claim              Claim // the member's newest claim about itself, to be passed on
 	state              memberState
-	since              time.Duration // of the state
-	lastHeardAt        time.Duration // when it last proved to be there, to this instance
-	knowsUs            bool          // it has sent us something, so it need not be told who we are
-	clockOffset        time.Duration // its clock less ours, at least
-	clockKnown         bool          // ahead is known from a datagram of its own
-	received           replayWindow  // of its datagrams in this run
-	failedProbes       int           // own probes in a row that it did not answer
-	checkQueued        bool          // it stands in checks
-	retryAt            time.Duration // when a dead one is tried again
-	revivalNotifiedAt  time.Duration // when it was last told that it had been held dead
-	staleRunNotifiedAt time.Duration // when a run that is not the one held was last told so
+	since              time.Duration // when the member entered the state
+	lastHeardAt        time.Duration // when the member last proved to this instance to be alive
+	knowsUs            bool          // a datagram of the member has come in, so it needs no claim of this instance
+	clockOffset        time.Duration // lower bound of the member's clock minus this instance's
+	clockKnown         bool          // clockOffset comes from a datagram of the member itself
+	received           replayWindow  // counters of the datagrams received in this run
+	failedProbes       int           // consecutive failed probes of this instance
+	checkQueued        bool          // the member is in Node.checks
+	retryAt            time.Duration // when a dead member is probed again
+	revivalNotifiedAt  time.Duration // when this instance last introduced itself to the member after holding it dead
+	staleRunNotifiedAt time.Duration // when the claim held was last sent to a run of the member that is not the one held
 
 	suspectUntil time.Duration
 	accusedBy    []accuser
 
-	// Its word on servers, as far as this instance could see for itself; both fade.
-	confirmed, contradicted float64
-	creditUpdatedAt         time.Duration
-	rumourLevel             float64 // rumours of it that were taken of late
-	rumourLevelAt           time.Duration
-	// Its word on members.
+	// How far this instance's own observations agree with the member's rumours about servers. Both counts decay.
+	confirmed       float64
+	contradicted    float64
+	creditUpdatedAt time.Duration
+
+	rumourLevel   float64       // fill level of the leaky bucket that limits the member's rumours
+	rumourLevelAt time.Duration // when the level was computed
+
+	// Accusations by the member against others that proved false here. The count decays.
 	falseAccusations   float64
 	falseAccusationsAt time.Duration
 }
 
+// accuser is a member that has accused another.
 type accuser struct {
 	name string
-	at   time.Duration // when it came
+	at   time.Duration // when the accusation arrived
 }
 
-// window knows which datagrams of a run have come: the newest number, and the 64 before it.
+// replayWindow records which datagrams of a run have been received: the highest counter, and the 64 counters up to it as a
+// bit mask.
 type replayWindow struct {
 	newest uint64
 	mask   uint64
 }
 
-// take notes a number; false if it has come before or is too old to tell.
+// accept records a counter. It returns false if the counter has been received before or is too old to tell.
 func (w *replayWindow) accept(number uint64) bool {
 	switch {
 	case number == 0:
@@ -81,11 +87,11 @@
 	return true
 }
 
-// clock is at least what a member's own clock shows now.
+// clock returns a lower bound of what the member's own clock shows now.
 func (m *member) clock(now time.Duration) time.Duration { return now + m.clockOffset }
 
-// Received takes a datagram. What does not come from a known run of a member, or has come before, is dropped before it can
-// change anything; a claim of the sender's own that is newer comes first, as it may tell of that run.
+// Received handles a datagram. One that isn't from the known run of a member, or that has been received before, is dropped
+// before it can change anything. Claims of the sender about itself are handled first, as they may announce its run.
 func (n *Node) Received(now time.Duration, d Datagram) {
 	n.detectPause(now)
 	if n.inactive && n.own.Kind == Left {
@@ -108,7 +114,7 @@
 			n.counts.Strange++
 			return
 		} else if m.run != d.Run {
-			// Either an old datagram, or a new run that does not know how far the one before it had counted.
+			// Either an old datagram, or a new run that doesn't know the incarnation that the run before it had reached.
 			n.counts.StaleRun++
 			if m.staleRunNotifiedAt == 0 || now-m.staleRunNotifiedAt >= n.config.ProbeEvery {
 				m.staleRunNotifiedAt = now
@@ -133,8 +139,8 @@
 	n.scheduleWake(now)
 }
 
-// heardFrom notes that a member has just proved to be there. Its clock only ever moves ahead of what was known of it: an old
-// word that comes late, or again, makes nothing look younger.
+// heardFrom records that a member has just proved to be alive, with its clock. The offset of that clock only ever grows, so
+// that a message that is delayed or replayed makes nothing look younger.
 func (n *Node) heardFrom(now time.Duration, m *member, clock time.Duration) {
 	if ahead := clock - now; !m.clockKnown || ahead > m.clockOffset {
 		m.clockOffset, m.clockKnown = ahead, true
@@ -142,7 +148,7 @@
 	n.markAlive(now, m)
 }
 
-// markAlive takes a proof of life.
+// markAlive handles proof that a member is alive: it clears suspicion and accusations, and revives a dead member.
 func (n *Node) markAlive(now time.Duration, m *member) {
 	m.lastHeardAt, m.failedProbes = now, 0
 	for _, a := range m.accusedBy {
@@ -158,7 +164,7 @@
 		n.counts.Revived++
 		m.state, m.since = alive, now
 		n.host.Log("member_back", m.name)
-		n.nextSync = min(n.nextSync, now+n.jitter(n.config.TellEvery)) // it, or we, have been away: compare tables
+		n.nextSync = min(n.nextSync, now+n.jitter(n.config.TellEvery)) // it, or this instance, was cut off: synchronize
 		if m.revivalNotifiedAt == 0 || now-m.revivalNotifiedAt > 2*n.config.SuspectFor {
 			m.revivalNotifiedAt = now
 			n.introduceTo(now, m)
@@ -166,22 +172,23 @@
 	}
 }
 
-// introduceTo makes known to one member who we are, at once.
+// introduceTo sends this instance's claim about itself to one member at once.
 func (n *Node) introduceTo(now time.Duration, m *member) {
 	n.send(now, m, &Message{Kind: Tell, Claims: []Claim{n.selfClaim(now)}})
 }
 
-// addFalseAccusation notes that what a member said of another was not so here. It fades over some minutes.
+// addFalseAccusation records that an accusation by the member proved false here. The count decays over some minutes.
 func (m *member) addFalseAccusation(now time.Duration) {
 	m.falseAccusations = m.falseAccusationsNow(now) + 1
 	m.falseAccusationsAt = now
 }
 
+// falseAccusationsNow returns the count of false accusations, decayed to now.
 func (m *member) falseAccusationsNow(now time.Duration) float64 {
 	return decay(m.falseAccusations, now-m.falseAccusationsAt, creditDecayTime)
 }
 
-// handleClaim takes a claim; viaSync tells that it came in a comparison of tables.
+// handleClaim handles a claim; viaSync says that it came in an anti-entropy exchange.
 func (n *Node) handleClaim(now time.Duration, c *Claim, viaSync bool) {
 	switch {
 	case c.Name == n.config.Name:
@@ -189,13 +196,13 @@
 	case c.Kind == Accused:
 		n.handleAccusation(now, c)
 	case c.By != c.Name:
-		n.counts.StaleClaims++ // nobody speaks for another
+		n.counts.StaleClaims++ // only a member itself makes claims about itself
 	default:
 		n.handleOwnClaim(now, c, viaSync)
 	}
 }
 
-// handleOwnClaim takes what a member says of itself.
+// handleOwnClaim handles a claim of another member about itself.
 func (n *Node) handleOwnClaim(now time.Duration, c *Claim, viaSync bool) {
 	m := n.byName[c.Name]
 	if m != nil && !supersedes(c, &m.claim) {
@@ -205,13 +212,13 @@
 		}
 		return
 	}
-	if by := n.byKey[c.Key]; by != nil && by != m {
-		// One key is one voice. A second name under it counts only once the first has gone.
-		if by.state == alive || by.state == suspect {
+	if holder := n.byKey[c.Key]; holder != nil && holder != m {
+		// One key is one observer. A second name under a key counts only once the first is dead or has left.
+		if holder.state == alive || holder.state == suspect {
 			n.counts.ClaimsFull++
 			return
 		}
-		n.removeMember(by)
+		n.removeMember(holder)
 	}
 	if m == nil {
 		if c.Kind == Left || !n.makeRoomForMember(now) {
@@ -230,10 +237,10 @@
 		n.host.Log("member_new", m.name)
 	}
 	if m.run != c.Run {
-		// Another run has other numbers and another clock, and what the earlier one said ends with it.
+		// Another run has other counters and another clock, and the rumours of the earlier run end with it.
 		m.run, m.received, m.clockKnown, m.knowsUs = c.Run, replayWindow{}, false, false
 		n.rumours.removeAllOf(n, now, m)
-		if m.state == dead || m.state == suspect { // that was the run before; whether this one is there will show
+		if m.state == dead || m.state == suspect { // the judgement was on the run before; a probe decides on this one
 			m.state, m.since, m.failedProbes = alive, now, 0
 			n.queueCheck(m)
 		}
@@ -252,24 +259,25 @@
 	} else {
 		n.handleFreshClaim(now, m, c)
 		if m.state == left {
-			m.state, m.since = alive, now // under a new incarnation it has come back
+			m.state, m.since = alive, now // it has returned under a new incarnation
 		}
 	}
 	n.queueUpdate(now, update{claim: *c, subject: m.name})
 }
 
-// newer tells whether a claim of a member makes another void. Runs that took the same incarnation are told apart by their
-// number, so that all agree in the end.
-func supersedes(c, than *Claim) bool {
-	if c.Incarnation != than.Incarnation {
-		return c.Incarnation > than.Incarnation
+// supersedes reports whether a claim of a member replaces the one held. Runs that took the same incarnation are ordered by
+// their run number, so that all instances agree in the end.
+func supersedes(c, held *Claim) bool {
+	if c.Incarnation != held.Incarnation {
+		return c.Incarnation > held.Incarnation
 	}
-	return c.Run != than.Run && c.Run > than.Run || c.Run == than.Run && c.Kind == Left && than.Kind == Alive
+	return c.Run != held.Run && c.Run > held.Run || c.Run == held.Run && c.Kind == Left && held.Kind == Alive
 }
 
-// handleFreshClaim takes a claim of a member itself as proof of life, if it was made after what makes us doubt it.
+// handleFreshClaim takes a claim of a member about itself as proof that it is alive, if the claim was made after the event
+// that casts doubt on it.
 func (n *Node) handleFreshClaim(now time.Duration, m *member, c *Claim) {
-	made := min(now, c.Clock-m.clockOffset) // by our clock
+	made := min(now, c.Clock-m.clockOffset) // by this instance's clock
 	if m.claim.Run == c.Run && c.Clock > m.claim.Clock {
 		m.claim = *c
 	}
@@ -281,8 +289,8 @@
 	}
 }
 
-// makeRoomForMember makes room among the members if it can: those that are gone give way, the longest gone first. Members
-// that are there are never displaced by newcomers.
+// makeRoomForMember makes room for one more member and reports whether there is any. It removes the member that has been
+// dead or left for longest; members that are alive or suspect are never displaced by new ones.
 func (n *Node) makeRoomForMember(now time.Duration) bool {
 	if len(n.members) < n.config.Members-1 {
 		return true
@@ -299,7 +307,7 @@
 	return oldest != nil
 }
 
-// removeMember forgets a member.
+// removeMember removes a member and its rumours.
 func (n *Node) removeMember(m *member) {
 	is := func(x *member) bool { return x == m }
 	n.members = slices.DeleteFunc(n.members, is)
@@ -313,13 +321,13 @@
 	n.rumours.removeAllOf(n, n.lastActiveAt, m)
 }
 
-// markGone ends a member; its rumours end with it.
-func (n *Node) markGone(now time.Duration, m *member, how memberState) {
-	if m.state == how {
+// markGone marks a member as dead or left and removes its rumours.
+func (n *Node) markGone(now time.Duration, m *member, next memberState) {
+	if m.state == next {
 		return
 	}
-	m.state, m.since, m.accusedBy = how, now, nil
-	if how == dead {
+	m.state, m.since, m.accusedBy = next, now, nil
+	if next == dead {
 		n.counts.Died++
 		m.retryAt = now + n.deadProbeInterval()
 		n.host.Log("member_dead", m.name)
@@ -329,7 +337,8 @@
 	n.rumours.removeAllOf(n, now, m)
 }
 
-// handleAccusation takes the word of another that a member does not answer. It makes this instance look, and no more.
+// handleAccusation handles a claim of one member that another does not answer. It only makes this instance probe the
+// accused member.
 func (n *Node) handleAccusation(now time.Duration, c *Claim) {
 	n.counts.Accusations++
 	m, by := n.byName[c.Name], n.byName[c.By]
@@ -345,7 +354,8 @@
 			pending++
 		}
 	}
-	// Whoever has been heard of since it was made is there, which is no lie: it may have been away before.
+	// An accused member that has been heard from since the accusation was made is alive. The accusation need not be false,
+	// as the member may have been unreachable before.
 	if by.falseAccusationsNow(now) >= maxFalseAccusations || len(m.accusedBy) >= maxAccusers || pending >= maxAccusedByOne ||
 		m.lastHeardAt > now-(by.clock(now)-c.Clock) {
 		n.counts.AccusationsIgnored++
@@ -359,11 +369,13 @@
 	}
 }
 
-func (m *member) isAccusedBy(by string) bool {
-	return slices.ContainsFunc(m.accusedBy, func(a accuser) bool { return a.name == by })
+// isAccusedBy reports whether the member with a name has accused this one.
+func (m *member) isAccusedBy(name string) bool {
+	return slices.ContainsFunc(m.accusedBy, func(a accuser) bool { return a.name == name })
 }
 
-// handleProbeFailure is this instance's own judgement after a probe that nothing came back from.
+// handleProbeFailure judges a member after a probe that got no answer: an alive member becomes suspect, and a suspect one
+// dead once its suspicion has run out and at least two probes in a row have failed.
 func (n *Node) handleProbeFailure(now time.Duration, m *member) {
 	m.failedProbes++
 	switch m.state {
@@ -388,7 +400,7 @@
 	}
 }
 
-// applyConfirmations shortens a suspicion that others share.
+// applyConfirmations shortens a suspicion that at least one other member shares.
 func (n *Node) applyConfirmations(now time.Duration, m *member) {
 	others := 0
 	for _, a := range m.accusedBy {
@@ -401,13 +413,14 @@
 	}
 }
 
-// handleClaimAboutSelf takes what is said of this instance under its name.
+// handleClaimAboutSelf handles a claim about this instance's name: an accusation is refuted, and a claim of another run
+// under the name is superseded or, where that run holds the name, deactivates this one.
 func (n *Node) handleClaimAboutSelf(now time.Duration, c *Claim) {
 	if c.Kind == Accused {
 		if c.Incarnation >= n.own.Incarnation && !n.inactive && (n.refutedAt == 0 || now-n.refutedAt >= n.config.ProbeEvery) {
 			n.counts.Refutations++
 			n.refutedAt = now
-			n.own.Incarnation = c.Incarnation // no accuser makes it jump
+			n.own.Incarnation = c.Incarnation // no accuser can make it skip numbers
 			n.adjustHealthScore(1)
 			n.bumpIncarnation(now)
 		}
@@ -418,7 +431,7 @@
 	}
 	switch {
 	case c.Kind == Left || c.Addr == n.own.Addr || !n.joined:
-		// An earlier run of our own, or one that will turn out to hold the name: go beyond it.
+		// An earlier run of this instance, or one that turns out to hold the name: take a higher incarnation.
 		if c.Incarnation >= n.own.Incarnation && c.Incarnation < 1<<31 {
 			n.own.Incarnation = c.Incarnation
 			n.bumpIncarnation(now)
@@ -434,7 +447,7 @@
 	}
 }
 
-// bumpIncarnation goes beyond all that was said of this instance, and says so.
+// bumpIncarnation takes the next incarnation, which supersedes all claims about this instance so far, and announces it.
 func (n *Node) bumpIncarnation(now time.Duration) {
 	n.own.Incarnation++
 	if n.joined {
@@ -442,7 +455,7 @@
 	}
 }
 
-// selfClaim is what this instance says of itself now.
+// selfClaim returns this instance's claim about itself, with the current time.
 func (n *Node) selfClaim(now time.Duration) Claim {
 	c := n.own
 	c.Clock = now
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -5,110 +5,111 @@
 	"time"
 )
 
-// KeyID is the beginning of a public key's SHA-256. Whoever holds one key is one observer, whatever names it goes by.
+// KeyID is the beginning of the SHA-256 of a public key. One key is one observer, whatever names it uses.
 type KeyID [8]byte
 
-// ClaimKind says what a claim is about.
+// ClaimKind is the kind of a claim.
 type ClaimKind uint8
 
-// The kinds of claims. Alive and Left are made by the member itself, Accused by another that could not reach it.
+// The kinds of claims.
 const (
-	Alive ClaimKind = iota + 1
-	Left
-	Accused
+	Alive   ClaimKind = iota + 1 // the member is alive; made by itself
+	Left                         // the member has left; made by itself
+	Accused                      // the member does not answer probes; made by another
 )
 
-// Claim is a signed word on a member. It is passed on as it was signed, so a relay can hold it back but not alter it.
+// Claim is a signed statement about a member. It is passed on as signed, so a relay can withhold it but not alter it.
 type Claim struct {
 	Kind        ClaimKind
-	Name        string         // whom it is of
-	Incarnation uint32         // of that member; a higher one makes lower ones void
-	By          string         // who signed it: the member itself, or its accuser
-	Key         KeyID          // of who signed it
-	Run         uint64         // drawn at the start of who signed it
-	Addr        netip.AddrPort // where an alive one is reached
-	Clock       time.Duration  // of who signed it, since its start
-	Raw         []byte         // as signed; nil for one that its own instance is yet to sign
+	Name        string         // of the member that the claim is about
+	Incarnation uint32         // of that member; a higher one supersedes lower ones
+	By          string         // name of the signer: the member itself, or its accuser
+	Key         KeyID          // of the signer
+	Run         uint64         // of the signer
+	Addr        netip.AddrPort // address of the member, in its own claims
+	Clock       time.Duration  // time since the signer's start
+	Raw         []byte         // as signed; nil for a claim that its own instance has yet to sign
 }
 
-// Symptom is what an instance has seen of a server by itself.
+// Symptom is a kind of trouble that an instance has itself observed at a server.
 type Symptom uint8
 
-// The symptoms. Well withdraws what was told before; it says nothing about the server.
+// The symptoms. Well only withdraws an earlier rumour; it says nothing about the server.
 const (
-	Well        Symptom = iota
-	Silent              // owes answers for longer than chance explains
-	Unreachable         // no connection, or one that breaks
-	Failing             // answers with errors, or turns away
-	Late                // answers, but late
+	Well        Symptom = iota // withdraws an earlier rumour
+	Silent                     // has not answered for longer than chance explains
+	Unreachable                // no connection can be made, or connections break
+	Failing                    // answers with errors or busy replies
+	Late                       // answers, but late
 )
 
-// String names the symptom for the log.
+// String returns the symptom's name for the log.
 func (s Symptom) String() string {
 	return [...]string{"well", "silent", "unreachable", "failing", "late"}[min(s, Late)]
 }
 
-// Rumour is one observer's signed word on one server. The newest number of an observer on a server holds.
+// Rumour is a signed statement of one observer about one server. For each observer and server the highest number counts.
 type Rumour struct {
-	Observer string
-	Key      KeyID
-	Run      uint64
+	Observer string // name of the signer
+	Key      KeyID  // of the observer
+	Run      uint64 // of the observer
 	Server   uint64 // a hash of the server's id in the list, the same at every instance
 	Symptom  Symptom
-	Strength uint8         // of 255
+	Strength uint8         // of at most 255
 	Number   uint32        // counts an observer's rumours within its run
-	Made     time.Duration // by the observer's clock, since its start
-	Raw      []byte        // as signed; nil for one that its own instance is yet to sign
+	Made     time.Duration // time since the observer's start, by its own clock
+	Raw      []byte        // as signed; nil for a rumour that its own instance has yet to sign
 }
 
-// Told is a rumour as it is passed on: with its age as far as the teller knows, which can only make it older.
+// RelayedRumour is a rumour as it is passed on, with its age by the sender's knowledge. The age can only make it older.
 type Told struct {
 	Rumour
 	Age time.Duration
 }
 
-// Kind says what a datagram is for.
+// Kind is the kind of a datagram.
 type Kind uint8
 
-// The kinds of datagrams. Any of them may carry claims and rumours.
+// The kinds of datagrams. Each of them may carry claims and rumours.
 const (
-	Ping    Kind = iota + 1 // is answered by an Ack with the same number
-	Ack                     // carries a fresh claim of the probed where it answers for another
-	PingFor                 // asks the receiver to ping Target and to pass on what it says of itself
-	Nack                    // the receiver of a PingFor is there, but has not heard from Target so far
-	Tell                    // news only
+	Ping    Kind = iota + 1 // requests an Ack with the same number
+	Ack                     // answers a Ping; has a fresh claim of the probed member where it answers for another
+	PingFor                 // requests a ping of Target, and an Ack with Target's claim about itself
+	Nack                    // answers a PingReq when Target has not answered so far; shows that the helper itself is alive
+	Tell                    // carries updates only
 )
 
-// Message is what one datagram holds.
+// Message is the content of one datagram.
 type Message struct {
 	Kind     Kind
 	Number   uint32         // of the probe
-	Prove    bool           // a Ping for another: the Ack is to carry a fresh claim, as proof that can be passed on
-	Target   string         // of a PingFor
-	TargetAt netip.AddrPort // where the asker believes it is
-	Clock    time.Duration  // the sender's, since its start
+	Prove    bool           // for a Ping on behalf of another: requests a fresh claim in the Ack, as proof to pass on
+	Target   string         // of a PingReq: name of the member to ping
+	TargetAt netip.AddrPort // of a PingReq: address of Target as the requester knows it
+	Clock    time.Duration  // time since the sender's start
 	Claims   []Claim
 	Rumours  []Told
 }
 
-// Datagram is a message as it came: its sender is proved, all that it carries is signed by those it names.
+// Datagram is a message as received. Its sender is authenticated, and everything in it is signed by those that it names.
 type Datagram struct {
 	From    string
 	Key     KeyID
 	Run     uint64
-	Counter uint64 // grows with each datagram of a run
+	Counter uint64 // increases with each datagram of a run
 	Message *Message
 }
 
-// What items take in a datagram at most, in bytes. The codec's test holds these to account.
+// Upper bounds on encoded sizes in bytes. A test of the codec checks them.
 const (
-	maxDatagramOverheadBytes = 28 + 140 // headers of IP and UDP, ours, both proofs, and the message around its items
-	maxClaimBytes            = 245      // with the certificate of who signed it
-	maxAccusationBytes       = 120
+	maxDatagramOverheadBytes = 28 + 140 // headers of IP and UDP, then the header, both authentications and the message itself
+	maxClaimBytes            = 245      // with the signer's certificate, without the names
+	maxAccusationBytes       = 120      // without the name
 	maxRumourBytes           = 125
-	maxStreamOverheadBytes   = 400 // a stream's own packets and both sides' proofs
+	maxStreamOverheadBytes   = 400 // packets of the stream itself and the authentication of both sides
 )
 
+// maxBytes returns an upper bound on the encoded size of the claim.
 func (c *Claim) maxBytes() int {
 	if c.Kind == Accused {
 		return maxAccusationBytes + len(c.Name)
@@ -116,9 +117,10 @@
 	return maxClaimBytes + 2*len(c.Name)
 }
 
+// maxBytes returns an upper bound on the encoded size of the rumour.
 func (r *Rumour) maxBytes() int { return maxRumourBytes }
 
-// Bytes is what the message takes on the wire at most, headers of IP and UDP included.
+// Bytes returns an upper bound on the size of the message on the wire, headers of IP and UDP included.
 func (m *Message) Bytes() int {
 	n := maxDatagramOverheadBytes + len(m.Target)
 	for i := range m.Claims {
@@ -130,34 +132,35 @@
 	return n
 }
 
-// Mark stands for a claim or a rumour in a digest: a hash of what makes it the one that it is. That two go by one mark is
-// rare, and costs no more than that one of them is missed until the next comparison with another.
+// Fingerprint stands for a claim, a rumour or a name in a digest: a hash of what identifies it. Collisions are rare, and
+// cost no more than that one of the two is missed until the next exchange with another instance.
 type Mark uint32
 
-// Digest is what an instance holds, in short. Two instances compare theirs so that what one missed heals.
+// Digest summarizes what an instance holds. The receiver compares it with what it holds itself, so that each side can be
+// sent what it missed.
 type Digest struct {
-	Own     Claim
-	Members []Mark // of the newest claim of each
-	Dead    []Mark // of the names that are held dead
-	Rumours []Mark
+	Own     Claim  // of the sender about itself
+	Members []Mark // of each member's newest claim
+	Dead    []Mark // of the names of the members held dead
+	Rumours []Mark // of the rumours held
 }
 
-// Items are what one sends the other after comparing.
+// Items holds what one side of an exchange sends the other after comparing digests.
 type Items struct {
 	Claims  []Claim
 	Rumours []Told
-	Wants   []Mark     // of claims that the other holds and the sender does not
-	Lacks   []Mark     // of rumours, likewise
-	Alive   []Mark     // of names that the sender has contact with; the other holds them dead, or goes by one of them
-	SeenAt  netip.Addr // the address from which the sender was asked
+	Wants   []Mark     // of claims that the receiver holds and the sender lacks
+	Lacks   []Mark     // of rumours that the receiver holds and the sender lacks
+	Alive   []Mark     // of names alive at the sender that the receiver holds dead, or of the receiver's name if another run has it
+	SeenAt  netip.Addr // address from which the receiver's request came
 }
 
-// Bytes is what a digest takes on a stream.
+// Bytes returns an upper bound on the size of a digest on a stream.
 func (d *Digest) Bytes() int {
 	return maxStreamOverheadBytes + d.Own.maxBytes() + 5*(len(d.Members)+len(d.Dead)+len(d.Rumours))
 }
 
-// Bytes is what items take on a stream.
+// Bytes returns an upper bound on the size of the items on a stream.
 func (i *Items) Bytes() int {
 	n := maxStreamOverheadBytes + 5*(len(i.Wants)+len(i.Lacks)+len(i.Alive))
 	for j := range i.Claims {
@@ -169,7 +172,7 @@
 	return n
 }
 
-// Strength is how much a symptom of an instance's own counts for when it is told, of 255.
+// Strength returns the weight, of at most 255, with which an instance announces a symptom of its own.
 func (s Symptom) Strength() uint8 {
 	switch s {
 	case Silent, Unreachable:
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// probe is a ping that is out.
+// probe is a probe in flight: a ping, and the requests for indirect pings that may follow it.
 type probe struct {
 	target       *member
 	number       uint32
 	startedAt    time.Duration
-	indirectAt   time.Duration // when others are asked, 0 once they have been
+	indirectAt   time.Duration // when helpers are asked; 0 once they have been
 	deadline     time.Duration
-	helpersAsked int // helpers
-	nacks        int // of them that are there but have not heard from the member either
+	helpersAsked int
+	nacks        int // helpers that have answered that they have not heard from the target either
 }
 
+// nextEventAt returns when the probe next needs attention.
 func (p *probe) nextEventAt() time.Duration {
 	if p.indirectAt > 0 {
 		return min(p.indirectAt, p.deadline)
@@ -23,18 +24,18 @@
 	return p.deadline
 }
 
-// errand is a ping on behalf of another.
+// relayedPing is a ping on behalf of another member.
 type relayedPing struct {
-	number          uint32 // of our ping
+	number          uint32 // of this instance's ping
 	target          *member
 	requesterNumber uint32 // number of the probe that it is for
 	requester       *member
-	nackAt          time.Duration
+	nackAt          time.Duration // when a Nack is sent if the target hasn't answered
 	deadline        time.Duration
 	nacked          bool
 }
 
-// probeRound probes the next member in turn and those that there is reason to look at.
+// probeRound probes the next member in order, and those that are queued for a check.
 func (n *Node) probeRound(now time.Duration) {
 	n.nextProbe = now + n.scaled(n.config.ProbeEvery)
 	if n.inactive || !n.joined {
@@ -57,8 +58,8 @@
 	}
 }
 
-// nextTarget is the next member to be probed: each once, in an order that is drawn anew for each turn. Dead ones are tried
-// now and then, as both sides of a partition hold the other side dead.
+// nextTarget returns the next member to probe. Each member comes once per pass, in an order that is shuffled for each pass.
+// Dead members are probed now and then, because each side of a partition holds the other side dead.
 func (n *Node) nextTarget(now time.Duration) *member {
 	for tries := len(n.members) + 1; tries > 0; tries-- {
 		if len(n.probeOrder) == 0 {
@@ -83,16 +84,18 @@
 	return nil
 }
 
-// deadProbeInterval is how long a dead member is left alone. Among many instances somebody still tries each every few rounds.
+// deadProbeInterval returns the time between probes of a dead member. It grows with the number of members, as among many
+// instances one of them still probes each dead member every few rounds.
 func (n *Node) deadProbeInterval() time.Duration {
 	return n.config.ProbeEvery * time.Duration(10+len(n.members)/10)
 }
 
+// probing reports whether a probe of the member is in flight.
 func (n *Node) probing(m *member) bool {
 	return slices.ContainsFunc(n.probes, func(p *probe) bool { return p.target == m })
 }
 
-// queueCheck has a member probed beside its turn.
+// queueCheck queues a member to be probed out of turn.
 func (n *Node) queueCheck(m *member) {
 	if !m.checkQueued && len(n.checks) < n.config.Members {
 		m.checkQueued = true
@@ -100,6 +103,7 @@
 	}
 }
 
+// startProbe pings a member.
 func (n *Node) startProbe(now time.Duration, m *member) {
 	n.lastProbeNumber++
 	p := &probe{target: m, number: n.lastProbeNumber, startedAt: now, indirectAt: now + n.scaled(n.config.ProbeTimeout), deadline: now + n.scaled(n.config.ProbeEvery)}
@@ -107,13 +111,14 @@
 	n.send(now, m, n.withUpdates(now, m, &Message{Kind: Ping, Number: p.number}))
 }
 
-// processTimeouts looks at what is out: helpers are asked, failures judged.
+// processTimeouts asks helpers for the probes that are due for it, judges probes that have failed, and sends the Nacks that
+// are due for relayed pings.
 func (n *Node) processTimeouts(now time.Duration) {
 	var failed []*probe
 	n.probes = slices.DeleteFunc(n.probes, func(p *probe) bool {
 		if p.indirectAt > 0 && now >= p.indirectAt {
 			p.indirectAt = 0
-			if p.target.state != dead { // one that is only tried again is not worth others' datagrams
+			if p.target.state != dead { // no indirect pings for a dead member that is merely retried
 				for _, h := range n.randomMembers(probeHelpers, func(h *member) bool { return h != p.target && h.state == alive }) {
 					p.helpersAsked++
 					n.send(now, h, &Message{Kind: PingFor, Number: p.number, Target: p.target.name, TargetAt: p.target.addr})
@@ -127,10 +132,10 @@
 		return true
 	})
 	for _, p := range failed {
-		if p.target.lastHeardAt >= p.startedAt { // it was heard of by another way
+		if p.target.lastHeardAt >= p.startedAt { // heard from by other means
 			continue
 		}
-		// Helpers that do not even say that they are there hint at a trouble of our own.
+		// Helpers that send not even a Nack suggest that this instance itself is in trouble.
 		if p.helpersAsked > 0 && p.nacks == 0 {
 			n.adjustHealthScore(1)
 		}
@@ -145,7 +150,7 @@
 	})
 }
 
-// handleMessage does what a message asks for.
+// handleMessage acts on the kind of a message: it answers pings, matches acks and Nacks, and relays pings.
 func (n *Node) handleMessage(now time.Duration, m *member, msg *Message) {
 	if n.inactive {
 		return
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -6,55 +6,56 @@
 	"time"
 )
 
-// item is news: a claim, or a rumour where that is set. It is told a bounded number of times, the newest and least told
-// first.
+// update is a claim, or a rumour where that is set, that is being disseminated. It is sent a bounded number of times. Updates
+// sent fewer times go first, and the newest of those.
 type update struct {
 	claim         Claim
 	rumour        *entry
-	subject       string // of a claim: whom it is of
+	subject       string // of a claim: name of the member that it is about
 	transmissions int
 	queuedAt      time.Duration
 }
 
-// done tells whether an item has been told often enough. Where each hearer tells k others drawn by chance, about one in
-// e^k hears nothing, however many there are. A rumour on a server is to reach nearly all within a second or two; who misses
-// a word on a member hears it at the next comparison of tables, and those words are long.
+// done reports whether the update has been sent often enough. When each receiver sends it to k others drawn at random, about
+// one instance in e^k receives nothing, however many instances there are. A rumour about a server has to reach nearly all of
+// them within a second or two. Claims are long, and an instance that misses one receives it in its next anti-entropy
+// exchange, so they are sent fewer times.
 func (i *update) done() bool {
 	return i.transmissions >= rumourTransmissions || i.rumour == nil && i.transmissions >= claimTransmissions
 }
 
-// replaces tells whether one item makes another stale.
+// replaces reports whether the update makes another one stale.
 func (i *update) replaces(o *update) bool {
 	if i.rumour != nil || o.rumour != nil {
 		return i.rumour == o.rumour
 	}
 	if i.subject != o.subject || (i.claim.Kind == Accused) != (o.claim.Kind == Accused) {
-		return i.subject == o.subject && i.claim.Kind != Accused // what a member says of itself ends accusations
+		return i.subject == o.subject && i.claim.Kind != Accused // a member's claim about itself ends accusations against it
 	}
 	return i.claim.Kind != Accused || i.claim.By == o.claim.By
 }
 
-// queueUpdate queues news. What it makes stale is told no more.
+// queueUpdate queues an update for dissemination and drops those that it makes stale.
 func (n *Node) queueUpdate(now time.Duration, i update) {
 	if n.inactive {
 		return
 	}
 	i.queuedAt = now
 	n.updates = slices.DeleteFunc(n.updates, func(o *update) bool { return i.replaces(o) })
-	if most := 2*n.config.Members + n.config.Rumours; len(n.updates) >= most {
-		n.updates = slices.Delete(n.updates, 0, 1) // the oldest; a comparison of tables heals what is missed
+	if limit := 2*n.config.Members + n.config.Rumours; len(n.updates) >= limit {
+		n.updates = slices.Delete(n.updates, 0, 1) // the first in the queue; anti-entropy repairs what is missed
 	}
 	n.updates = append(n.updates, &i)
 	n.nextTell = max(n.nextTell, now)
 	n.wakeBy(n.nextTell)
 }
 
-// dequeueRumour takes a rumour that has ended out of the news.
+// dequeueRumour removes a rumour that is no longer held from the updates.
 func (n *Node) dequeueRumour(e *entry) {
 	n.updates = slices.DeleteFunc(n.updates, func(i *update) bool { return i.rumour == e })
 }
 
-// sendUpdates sends what is new to some members drawn by chance, as far as the byte budget allows.
+// sendUpdates runs one gossip round: it sends updates to some members drawn at random, as far as the byte budget allows.
 func (n *Node) sendUpdates(now time.Duration) {
 	n.nextTell = now + n.config.TellEvery
 	if len(n.updates) == 0 || n.inactive || !n.joined {
@@ -72,8 +73,9 @@
 	}
 }
 
-// withUpdates fills a message with news, as much as fits into a datagram. Who may not know us is told who we are where an answer
-// will show whether it does.
+// withUpdates adds to a message as many updates as fit into a datagram and returns the message. A probe or an answer to a
+// member that may not know this instance also carries this instance's claim about itself. Gossip doesn't, because no answer
+// to it would show whether the claim has arrived.
 func (n *Node) withUpdates(now time.Duration, to *member, msg *Message) *Message {
 	if msg.Kind != Tell && !to.knowsUs && !slices.ContainsFunc(msg.Claims, func(c Claim) bool { return c.Name == n.config.Name }) {
 		msg.Claims = append(msg.Claims, n.selfClaim(now))
@@ -85,44 +87,44 @@
 		return cmp.Or(cmp.Compare(a.transmissions, b.transmissions), cmp.Compare(b.queuedAt, a.queuedAt))
 	})
 	room := n.config.Datagram + 28 - msg.Bytes()
-	n.addUpdates(msg, to, &room, room/2, func(i *update) bool { return i.rumour == nil }, now) // members first: rumours hang on them
+	n.addUpdates(msg, to, &room, room/2, func(i *update) bool { return i.rumour == nil }, now) // claims first, as a rumour is dropped where its observer is unknown
 	n.addUpdates(msg, to, &room, room, func(i *update) bool { return i.rumour != nil }, now)
 	n.updates = slices.DeleteFunc(n.updates, (*update).done)
 	return msg
 }
 
-// addUpdates puts news of one kind into a message, as far as its part of the room goes.
-func (n *Node) addUpdates(msg *Message, to *member, room *int, part int, kind func(*update) bool, now time.Duration) {
+// addUpdates adds the updates that match a filter to a message, up to limit bytes, and takes their size off the room.
+func (n *Node) addUpdates(msg *Message, to *member, room *int, limit int, matches func(*update) bool, now time.Duration) {
 	for _, i := range n.updates {
-		if !kind(i) {
+		if !matches(i) {
 			continue
 		}
 		switch {
 		case i.rumour != nil:
-			if size := i.rumour.maxBytes(); size <= part {
-				part -= size
+			if size := i.rumour.maxBytes(); size <= limit {
+				limit -= size
 				*room -= size
 				i.transmissions++
 				msg.Rumours = append(msg.Rumours, Told{i.rumour.Rumour, i.rumour.age(now)})
 			}
 		case i.subject == to.name && i.claim.Kind != Accused:
-			i.transmissions++ // it knows that best
+			i.transmissions++ // the member itself needs no claim of its own
 		default:
-			if size := i.claim.maxBytes(); size <= part {
-				part -= size
+			if size := i.claim.maxBytes(); size <= limit {
+				limit -= size
 				*room -= size
 				i.transmissions++
 				msg.Claims = append(msg.Claims, i.claim)
 			}
 		}
-		if part < maxAccusationBytes {
+		if limit < maxAccusationBytes {
 			return
 		}
 	}
 }
 
-// send hands a datagram to the host and charges it to the byte budget. Probes and answers are never put off: they are
-// few, and who is silent is held dead.
+// send passes a datagram to the host and charges it to the byte budget. Probes and answers are sent even if the budget is
+// used up: they are few, and a silent instance would be held dead.
 func (n *Node) send(now time.Duration, m *member, msg *Message) {
 	msg.Clock = now
 	n.charge(now, msg.Bytes())
@@ -131,13 +133,13 @@
 	n.host.Datagram(m.addr, m.key, msg)
 }
 
-// charge takes bytes from the budget, which time fills up.
+// charge takes bytes from the budget, which refills with time.
 func (n *Node) charge(now time.Duration, bytes int) {
 	n.budgetUsed = max(0, n.budgetUsed-float64(n.config.BytesPerSecond)*(now-n.budgetUpdatedAt).Seconds()) + float64(bytes)
 	n.budgetUpdatedAt = now
 }
 
-// withinBudget tells whether the budget has room for a full datagram.
+// withinBudget reports whether the budget has room for a full datagram.
 func (n *Node) withinBudget(now time.Duration) bool {
 	n.charge(now, 0)
 	return n.budgetUsed+float64(n.config.Datagram) <= float64(max(budgetBurstSeconds*n.config.BytesPerSecond, 2*n.config.Datagram))
