--- a/internal/gossip/rumour.go
+++ b/internal/gossip/rumour.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// entry is a rumour that is held. One that withdraws is held too until it is too old to matter, or what it withdraws could
-// come in later by another way.
+// entry is a rumour that is held. A withdrawal is held too until it expires; otherwise the rumour that it withdraws could
+// arrive later by another path and be accepted.
 type entry struct {
 	Rumour
-	observer       *member // its observer; nil where that is this instance
+	observer       *member // nil for a rumour of this instance
 	arrivedAt      time.Duration
-	ageOnArrival   time.Duration // its age then
-	confirmed      bool          // this instance has seen the same since
-	contradictedAt time.Duration // when it was last held against its observer
+	ageOnArrival   time.Duration
+	confirmed      bool          // this instance has observed trouble with the server itself
+	contradictedAt time.Duration // when the rumour last counted against its observer
 }
 
+// age returns the age of the rumour at now.
 func (e *entry) age(now time.Duration) time.Duration { return e.ageOnArrival + now - e.arrivedAt }
 
-// server is one that somebody says something about, or that this instance has a symptom of.
+// server is a server about which a rumour is held, or of which this instance has itself observed a symptom.
 type server struct {
 	id      uint64
-	entries []*entry // in the order in which they came
-	weight  float64  // last told to the module
+	entries []*entry // in order of arrival
+	weight  float64  // last reported to the decision module
 	own     ownSymptom
 }
 
-// symptom is this instance's own trouble with a server.
+// ownSymptom is the trouble that this instance itself has with a server.
 type ownSymptom struct {
 	Symptom
 	strength    uint8
 	since       time.Duration
-	lastSeenAt  time.Duration // newest evidence
-	announced   bool
+	lastSeenAt  time.Duration // time of the newest evidence
+	announced   bool          // this instance's current rumour tells of the symptom
 	announcedAt time.Duration
 }
 
-// table holds rumours, by observer; by server they hang on the servers.
+// rumourTable holds the rumours by observer. The rumours about one server are in its server.
 type rumourTable struct {
 	byObserver map[string][]*entry
-	observers  []string // in the order in which they came
+	observers  []string // keys of byObserver in order of arrival
 	size       int
 }
 
 const (
-	futureToleranceDivisor = 4   // part of a rumour's life by which it may seem to come from the future
-	sufficientWeight       = 2.0 // weight of others' word beyond which this instance's own adds nothing
-	alwaysPlausibleServers = 4   // servers of which one may always find all in trouble
-	minRelayCredit         = 0.1 // whose word is not passed on any more
-	minDifference          = 0.05
-	minRumourShare         = 4 // rumours that anybody may make in a rumour's life
-	symptomDelayDivisor    = 4 // part of a probe round for which a symptom must last to be told
+	futureToleranceDivisor = 4    // a rumour may seem to come from the future by RumourLife divided by this
+	sufficientWeight       = 2.0  // weight of the others' rumours from which on this instance adds none of its own
+	alwaysPlausibleServers = 4    // up to so many servers may all be in trouble without casting doubt on this instance
+	minRelayCredit         = 0.1  // rumours of observers with less credit are not passed on
+	minDifference          = 0.05 // differences of weight or credit up to this are ignored
+	minRumourShare         = 4    // rumours that any observer may make within RumourLife
+	symptomDelayDivisor    = 4    // a symptom must last for ProbeEvery divided by this before it is announced
 )
 
 // serverFor returns what is held serverFor a server, and makes it where it is not.
@@ -65,8 +66,8 @@
 }
 
 // handleRumour takes one handleRumour, from whomever it came.
-func (n *Node) handleRumour(now time.Duration, t *Told) {
-	r := &t.Rumour
+func (n *Node) handleRumour(now time.Duration, relayed *Told) {
+	r := &relayed.Rumour
 	m := n.byName[r.Observer]
 	if r.Observer == n.config.Name {
 		n.counts.RumoursKnown++
@@ -85,7 +86,7 @@
 	if ahead > 0 {
 		m.clockOffset += ahead // it cannot have been made later than now
 	}
-	age := max(t.Age, m.clock(now)-r.Made, 0)
+	age := max(relayed.Age, m.clock(now)-r.Made, 0)
 	if age > n.config.RumourLife {
 		n.counts.RumoursOld++
 		return
@@ -121,17 +122,18 @@
 	n.rumours.add(s, e)
 	if s.own.Symptom != Well && e.Symptom != Well {
 		e.confirmed = true
-		m.addConfirmed(now, 0.25) // it tells what is known here already
+		m.addConfirmed(now, 0.25) // less than for a rumour that comes before this instance's own observation
 	}
-	// A liar's word goes no further, nor does the withdrawal of what nobody here has heard.
+	// Rumours of observers without credit are not passed on, nor are withdrawals of rumours that were not held here.
 	if m.credit(now) >= minRelayCredit && (had || e.Symptom != Well) {
 		n.queueUpdate(now, update{rumour: e})
 	}
 	n.updateWeight(now, r.Server)
 }
 
-// allowRumour tells whether an observer may say one thing more: as many at once as its credit leaves of its share of the table, and
-// as many again in the time that a rumour lives. So liars soon take little of what all may send.
+// allowRumour limits the rate of an observer's rumours by a leaky bucket and reports whether one more is allowed. The bucket
+// holds share rumours, which depends on the observer's credit, and drains that many within the life of a rumour. So an
+// observer that lies soon takes little of the common capacity.
 func (m *member) allowRumour(now time.Duration, share float64, life time.Duration) bool {
 	m.rumourLevel = max(0, m.rumourLevel-float64(now-m.rumourLevelAt)/float64(life)*share)
 	m.rumourLevelAt = now
@@ -142,11 +144,12 @@
 	return true
 }
 
-// makeRoom makes room for a rumour, or says that there is none. A share for each observer, few observers for each server,
-// and where the whole table is full the observer with the most in it gives way: whoever is loud displaces himself.
+// makeRoom makes room for a rumour and reports whether there is any. The rumours of one observer and the observers of one
+// server are bounded. If the whole table is full, the observer with the most rumours loses its oldest one, so that an
+// observer that sends many displaces its own.
 func (t *rumourTable) makeRoom(n *Node, now time.Duration, e *entry) bool {
-	if mine := t.byObserver[e.Observer]; len(mine) >= n.config.RumoursPerObserver {
-		t.remove(n, mine[0])
+	if held := t.byObserver[e.Observer]; len(held) >= n.config.RumoursPerObserver {
+		t.remove(n, held[0])
 	}
 	if s := n.serversByID[e.Server]; s != nil && e.Symptom != Well {
 		var least *entry
@@ -186,6 +189,7 @@
 	return true
 }
 
+// add adds an entry to the table and to its server.
 func (t *rumourTable) add(s *server, e *entry) {
 	s.entries = append(s.entries, e)
 	if len(t.byObserver[e.Observer]) == 0 {
@@ -195,7 +199,7 @@
 	t.size++
 }
 
-// remove takes an entry out. Settle follows for its server.
+// remove removes an entry. The caller must then call updateWeight for its server.
 func (t *rumourTable) remove(n *Node, e *entry) {
 	is := func(o *entry) bool { return o == e }
 	t.byObserver[e.Observer] = slices.DeleteFunc(t.byObserver[e.Observer], is)
@@ -210,7 +214,7 @@
 	n.dequeueRumour(e)
 }
 
-// removeAllOf drops all that a member has said.
+// removeAllOf removes all rumours of a member.
 func (t *rumourTable) removeAllOf(n *Node, now time.Duration, m *member) {
 	for _, e := range slices.Clone(t.byObserver[m.name]) {
 		t.remove(n, e)
@@ -218,8 +222,8 @@
 	}
 }
 
-// updateWeight weighs what is said of a server anew, tells the module where that has changed, and forgets it where nothing is
-// left to hold.
+// updateWeight recomputes the weight of the rumours about a server and reports it to the host if it has changed enough. It
+// removes the server if there is nothing left to hold.
 func (n *Node) updateWeight(now time.Duration, id uint64) {
 	s := n.serversByID[id]
 	if s == nil {
@@ -235,7 +239,8 @@
 	}
 }
 
-// totalWeight is how many others say that a server is in trouble, each counted by its credit.
+// totalWeight returns the sum over the other observers that say that the server is in trouble, each counted by its credit
+// and the strength of its rumour.
 func (s *server) totalWeight(now time.Duration) (sum float64) {
 	for _, e := range s.entries {
 		if e.observer != nil && e.Symptom != Well {
@@ -245,7 +250,8 @@
 	return sum
 }
 
-// sweep ends what is too old, and tells or tells again what this instance sees by itself.
+// sweep removes expired rumours and members that have been gone for long, and announces this instance's own symptoms that
+// are due.
 func (n *Node) sweep(now time.Duration) {
 	for _, s := range slices.Clone(n.serverOrder) {
 		for _, e := range slices.Clone(s.entries) {
@@ -267,11 +273,11 @@
 	}
 }
 
-// Symptom is called whenever this instance has seen a server in trouble by itself. It must never be called because of what
-// others say: rumours do not breed rumours.
-func (n *Node) Symptom(now time.Duration, id uint64, what Symptom, strength uint8) {
+// ReportSymptom is called whenever this instance has itself observed a server in trouble. It must never be called because of
+// rumours, as rumours would then cause further rumours.
+func (n *Node) Symptom(now time.Duration, id uint64, symptom Symptom, strength uint8) {
 	n.detectPause(now)
-	if what == Well {
+	if symptom == Well {
 		n.Recovered(now, id)
 		return
 	}
@@ -286,22 +292,22 @@
 			}
 		}
 	}
-	s.own.Symptom, s.own.strength, s.own.lastSeenAt = what, strength, now
+	s.own.Symptom, s.own.strength, s.own.lastSeenAt = symptom, strength, now
 	n.announceIfDue(now, s)
 	n.updateWeight(now, id)
 	n.scheduleWake(now)
 }
 
-// Recovered is called when the instance's own trouble with a server has ended.
+// Recovered is called when this instance's own trouble with a server has ended. It withdraws the rumour about it.
 func (n *Node) Recovered(now time.Duration, id uint64) {
 	n.detectPause(now)
 	s := n.serversByID[id]
 	if s == nil || s.own.Symptom == Well {
 		return
 	}
-	told := s.own.announced
+	announced := s.own.announced
 	s.own = ownSymptom{}
-	if told {
+	if announced {
 		n.counts.RumoursWithdrawn++
 		n.addOwnRumour(now, s, Well, 0)
 	}
@@ -309,57 +315,58 @@
 	n.scheduleWake(now)
 }
 
-// Acked is called when a server has acked, in time, an op that was sent at a time. That speaks against those who said
-// before then that it does not work, by how much they said it does not.
+// Acked is called when a server has acked in time an op sent at sentAt. That contradicts the rumours about the server that
+// arrived by then, and counts more against those that say that the server does not work at all.
 func (n *Node) Acked(now time.Duration, id uint64, sentAt time.Duration) {
 	s := n.serversByID[id]
 	if s == nil {
 		return
 	}
-	held := false
+	contradicted := false
 	for _, e := range s.entries {
 		if e.observer == nil || e.Symptom == Well || e.arrivedAt > sentAt || e.contradictedAt > 0 && now-e.contradictedAt < 2*n.config.ProbeEvery {
 			continue
 		}
-		e.contradictedAt, held = now, true
+		e.contradictedAt, contradicted = now, true
 		n.counts.Contradicted++
 		switch e.Symptom {
 		case Silent, Unreachable:
 			e.observer.addContradicted(now, 1)
-		default: // a server that fails or delays some ops acks others in time
+		default: // a server that fails or delays some ops may still ack others in time
 			e.observer.addContradicted(now, 0.3)
 		}
 	}
-	if held {
+	if contradicted {
 		n.updateWeight(now, id)
 	}
 }
 
-// announceIfDue tells of the instance's own symptom, unless enough others do or it has reason to doubt itself; and tells again
-// what is half through its life.
+// announceIfDue announces this instance's own symptom of a server by a rumour, unless the rumours of others suffice or this
+// instance has reason to suspect itself. It renews a rumour after half of its life.
 func (n *Node) announceIfDue(now time.Duration, s *server) {
 	if !n.joined || n.inactive || n.healthScore >= maxHealthScore/2 {
 		return
 	}
 	switch {
-	case now-s.own.since < n.config.ProbeEvery/symptomDelayDivisor: // where ops are many the next answer may end it
+	case now-s.own.since < n.config.ProbeEvery/symptomDelayDivisor: // on a busy server the next reply may end the symptom
 		return
-	case s.own.announced && (now-s.own.announcedAt < n.config.RumourLife/2 || s.own.lastSeenAt <= s.own.announcedAt): // nothing new to say
+	case s.own.announced && (now-s.own.announcedAt < n.config.RumourLife/2 || s.own.lastSeenAt <= s.own.announcedAt): // no renewal due, or no new evidence
 		return
 	case s.own.announcedAt > 0 && now-s.own.announcedAt < n.config.ProbeEvery, !s.own.announced && now-s.own.lastSeenAt > n.config.RumourLife/2:
 		return
 	}
 	if s.totalWeight(now) >= sufficientWeight {
-		s.own.announced = false // it ends by its age
+		s.own.announced = false // a rumour made before expires by its age
 		return
 	}
-	if sick := n.countTroubledServers(); sick > alwaysPlausibleServers && 2*sick > n.serverCount {
-		return // most of all servers in trouble is most likely a trouble of this instance's own
+	if troubled := n.countTroubledServers(); troubled > alwaysPlausibleServers && 2*troubled > n.serverCount {
+		return // if most servers seem in trouble, this instance is most likely the one that is
 	}
 	n.addOwnRumour(now, s, s.own.Symptom, s.own.strength)
 	s.own.announced, s.own.announcedAt = true, now
 }
 
+// countTroubledServers counts the servers of which this instance has itself observed a symptom.
 func (n *Node) countTroubledServers() (count int) {
 	for _, s := range n.serverOrder {
 		if s.own.Symptom != Well {
@@ -369,13 +376,13 @@
 	return count
 }
 
-// addOwnRumour puts a rumour of this instance's own into the table and among the news.
-func (n *Node) addOwnRumour(now time.Duration, s *server, what Symptom, strength uint8) {
+// addOwnRumour makes a rumour of this instance, puts it into the table in place of the one before, and queues it.
+func (n *Node) addOwnRumour(now time.Duration, s *server, symptom Symptom, strength uint8) {
 	if i := slices.IndexFunc(s.entries, func(e *entry) bool { return e.observer == nil }); i >= 0 {
 		n.rumours.remove(n, s.entries[i])
 	}
 	n.lastRumourNumber++
-	e := &entry{arrivedAt: now, Rumour: Rumour{Observer: n.config.Name, Key: n.own.Key, Run: n.own.Run, Server: s.id, Symptom: what,
+	e := &entry{arrivedAt: now, Rumour: Rumour{Observer: n.config.Name, Key: n.own.Key, Run: n.own.Run, Server: s.id, Symptom: symptom,
 		Strength: strength, Number: n.lastRumourNumber, Made: now}}
 	if !n.rumours.makeRoom(n, now, e) {
 		n.counts.RumoursDropped++
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -7,54 +7,54 @@
 	"time"
 )
 
-// Bounds on one comparison of tables. What is left over follows in the next one.
+// Bounds on one anti-entropy exchange. What does not fit follows in a later one.
 const (
 	maxDigestRumours = 256
 	maxAnswerBytes   = 6 << 10
-	minAnswerBytes   = 1 << 10 // that a comparison brings at least, however short the budget is
+	minAnswerBytes   = 1 << 10 // granted to an answer however little of the budget is left
 )
 
-// fingerprint stands for the newest claim of a member.
+// fingerprint stands for the newest claim of the member.
 func (m *member) fingerprint() Mark {
 	return Mark(m.hash ^ m.claim.Run ^ uint64(m.claim.Incarnation)*0x9e3779b97f4a7c15>>7 ^ uint64(m.claim.Kind)<<13)
 }
 
-// fingerprint stands for a rumour.
+// fingerprint stands for the rumour.
 func (e *entry) fingerprint() Mark {
 	return Mark(hash(e.Observer) ^ e.Server*0x9e3779b97f4a7c15>>9 ^ uint64(e.Number)*0xd6e8feb86659fd93>>11)
 }
 
-// nameMark stands for a name.
+// nameFingerprint stands for the name with a hash.
 func nameFingerprint(hash uint64) Mark { return Mark(hash >> 17) }
 
-// answerBudget is how many bytes the budget leaves for an answer on a stream.
+// answerBudget returns how many bytes the budget leaves for an answer on a stream.
 func (n *Node) answerBudget(now time.Duration) int {
 	n.charge(now, 0)
 	return max(minAnswerBytes, min(maxAnswerBytes, budgetBurstSeconds*n.config.BytesPerSecond-int(n.budgetUsed)))
 }
 
-// join asks a seed, or somebody that is known already, for what it holds.
+// join starts an exchange with a seed, or with a member if any is known already.
 func (n *Node) join(now time.Duration) {
 	n.joinAt = now + n.joinBackoff
 	n.joinBackoff = min(2*n.joinBackoff, 10*n.config.ProbeEvery)
 	if n.inactive && n.own.Kind == Left {
 		return
 	}
-	at := n.config.Seeds
+	candidates := n.config.Seeds
 	if len(n.members) > 0 && n.rng.IntN(2) == 0 {
-		at = nil
+		candidates = nil
 		for _, m := range n.members {
-			at = append(at, m.addr)
+			candidates = append(candidates, m.addr)
 		}
 	}
-	if len(at) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	n.exchange(now, at[n.rng.IntN(len(at))])
+	n.exchange(now, candidates[n.rng.IntN(len(candidates))])
 }
 
-// syncWithRandomMember compares tables with a member drawn by chance; now and then with a seed, as the members of one half of a
-// partition may all have forgotten the other half.
+// syncWithRandomMember starts an exchange with a member drawn at random, or now and then with a seed, because the members on
+// one side of a partition may all have forgotten the other side.
 func (n *Node) syncWithRandomMember(now time.Duration) {
 	if n.inactive || !n.joined {
 		return
@@ -68,6 +68,7 @@
 	}
 }
 
+// exchange starts an anti-entropy exchange by sending the digest.
 func (n *Node) exchange(now time.Duration, with netip.AddrPort) {
 	if with == n.own.Addr {
 		return
@@ -78,7 +79,7 @@
 	n.host.Exchange(with, d)
 }
 
-// digest is what this instance holds, in short.
+// digest summarizes what this instance holds.
 func (n *Node) digest(now time.Duration) *Digest {
 	d := &Digest{Own: n.selfClaim(now)}
 	for _, m := range n.members {
@@ -97,11 +98,12 @@
 	return d
 }
 
-// Asked takes another's digest and gives what that one lacks. It came from the address seenAt.
-func (n *Node) Asked(now time.Duration, d *Digest, seenAt netip.Addr) *Items {
+// ExchangeRequested handles the digest with which another instance has started an exchange, and returns the answer: what the
+// other lacks, and what this instance wants. The digest came from the address observed.
+func (n *Node) Asked(now time.Duration, d *Digest, observed netip.Addr) *Items {
 	n.detectPause(now)
 	defer func() { n.scheduleWake(now) }()
-	items := &Items{SeenAt: seenAt}
+	items := &Items{SeenAt: observed}
 	if n.inactive && n.own.Kind == Left {
 		return items
 	}
@@ -114,7 +116,7 @@
 	} else if own.Name == n.config.Name {
 		n.handleClaimAboutSelf(now, &own)
 	}
-	theirs, missed := fingerprintSet(d.Members), fingerprintSet(d.Dead)
+	theirs, theirDead := fingerprintSet(d.Members), fingerprintSet(d.Dead)
 	room := n.answerBudget(now)
 	add := func(c Claim) {
 		if size := c.maxBytes(); size <= room {
@@ -123,31 +125,31 @@
 		}
 	}
 	add(n.selfClaim(now))
-	if m := n.byName[own.Name]; m != nil && m.run != own.Run { // it is to know that its name was, or is, another's
+	if m := n.byName[own.Name]; m != nil && m.run != own.Run { // tells the other that its name is or was held by another run
 		add(m.claim)
 		if m.state == alive {
 			items.Alive = append(items.Alive, nameFingerprint(m.hash))
 		}
 	}
-	// From a random place on, so that one who lacks much gets another part from each that it asks.
+	// Starts at a random member, so that an instance that lacks much gets another part from each instance that it asks.
 	for i, start := 0, n.rng.IntN(len(n.members)+1); i < len(n.members); i++ {
 		m := n.members[(start+i)%len(n.members)]
 		has := theirs[m.fingerprint()]
 		delete(theirs, m.fingerprint())
 		switch {
 		case m.name == own.Name:
-		case m.state == alive && missed[nameFingerprint(m.hash)]:
+		case m.state == alive && theirDead[nameFingerprint(m.hash)]:
 			items.Alive = append(items.Alive, nameFingerprint(m.hash))
-		case m.state == dead && !missed[nameFingerprint(m.hash)] && has:
-			n.queueCheck(m) // they have contact with it, or have not missed it yet: look again
+		case m.state == dead && !theirDead[nameFingerprint(m.hash)] && has:
+			n.queueCheck(m) // the other is in contact with the member, or hasn't detected its failure yet: probe it
 		}
 		if !has && m.name != own.Name && m.state != dead {
 			add(m.claim)
 		}
 	}
-	for _, mark := range d.Members {
-		if theirs[mark] && mark != n.ownFingerprint() {
-			items.Wants = append(items.Wants, mark)
+	for _, f := range d.Members {
+		if theirs[f] && f != n.ownFingerprint() {
+			items.Wants = append(items.Wants, f)
 		}
 	}
 	n.compareRumours(now, d.Rumours, items, &room)
@@ -157,29 +159,29 @@
 	return items
 }
 
-// ownFingerprint is what others hold of this instance, if they are up to date.
+// ownFingerprint stands for this instance's claim about itself, as others hold it if they are up to date.
 func (n *Node) ownFingerprint() Mark {
 	m := member{hash: hash(n.config.Name), claim: n.own}
 	return m.fingerprint()
 }
 
-func fingerprintSet(all []Mark) map[Mark]bool {
-	set := make(map[Mark]bool, len(all))
-	for _, m := range all {
-		set[m] = true
+func fingerprintSet(list []Mark) map[Mark]bool {
+	set := make(map[Mark]bool, len(list))
+	for _, f := range list {
+		set[f] = true
 	}
 	return set
 }
 
-// compareRumours gives the rumours that another lacks, the youngest first and as far as there is room, and asks for those that
-// are lacking here.
+// compareRumours adds to items the rumours that the other lacks, the youngest first and as far as there is room, and the
+// fingerprints of those that are lacking here.
 func (n *Node) compareRumours(now time.Duration, theirs []Mark, items *Items, room *int) {
 	has := fingerprintSet(theirs)
 	var missing []*entry
 	for _, name := range n.rumours.observers {
 		for _, e := range n.rumours.byObserver[name] {
-			if mark := e.fingerprint(); has[mark] {
-				delete(has, mark)
+			if f := e.fingerprint(); has[f] {
+				delete(has, f)
 			} else {
 				missing = append(missing, e)
 			}
@@ -192,14 +194,15 @@
 			items.Rumours = append(items.Rumours, Told{e.Rumour, e.age(now)})
 		}
 	}
-	for _, mark := range theirs {
-		if has[mark] {
-			items.Lacks = append(items.Lacks, mark)
+	for _, f := range theirs {
+		if has[f] {
+			items.Lacks = append(items.Lacks, f)
 		}
 	}
 }
 
-// Exchanged takes what the asked one sent and gives what it wants in turn; nothing if that is nil.
+// ExchangeAnswered handles the answer to an exchange that this instance started, and returns what the other wants in turn, or
+// nil if there is nothing to send.
 func (n *Node) Exchanged(now time.Duration, items *Items) *Items {
 	n.detectPause(now)
 	defer func() { n.scheduleWake(now) }()
@@ -207,23 +210,23 @@
 	if n.inactive && n.own.Kind == Left {
 		return nil
 	}
-	who := ""
+	name := "" // of the instance that has answered
 	if len(items.Claims) > 0 && items.Claims[0].Kind == Alive {
-		who = items.Claims[0].Name // the asked one speaks of itself first
+		name = items.Claims[0].Name // an answer begins with the sender's claim about itself
 	}
-	n.learnAddr(now, who, items.SeenAt)
+	n.learnAddr(now, name, items.SeenAt)
 	n.applyItems(now, items)
 	if slices.Contains(items.Alive, nameFingerprint(hash(n.config.Name))) {
-		return nil // another run holds our name there: nothing that we say would count
+		return nil // another run holds this instance's name there, so no claim or rumour of this one would count
 	}
 	if !n.joined {
 		n.joined, n.inactive = true, false
 		n.joinBackoff = n.config.ProbeEvery
-		n.host.Log("joined", who)
+		n.host.Log("joined", name)
 		n.bumpIncarnation(now)
 		n.nextProbe = now + n.jitter(n.config.ProbeEvery)
 	}
-	if len(items.Claims) > 8 { // there was much to learn, and there may be more
+	if len(items.Claims) > 8 { // much was missing, and there may be more
 		n.nextSync = min(n.nextSync, now+n.config.ProbeEvery)
 	}
 	give := &Items{}
@@ -251,16 +254,17 @@
 	return give
 }
 
-// Given takes what the one that asked sends at last.
+// ExchangeCompleted handles what the instance that started an exchange sends last.
 func (n *Node) Given(now time.Duration, items *Items) {
 	n.detectPause(now)
 	n.applyItems(now, items)
 	n.scheduleWake(now)
 }
 
-// ExchangeFailed says that a comparison came to nothing. Membership does not hang on it.
+// ExchangeFailed is called when an exchange that this instance started has failed. It has no effect on membership.
 func (n *Node) ExchangeFailed(now time.Duration, with netip.AddrPort) { n.counts.SyncsFailed++ }
 
+// applyItems handles the claims and rumours that the other side of an exchange has sent.
 func (n *Node) applyItems(now time.Duration, items *Items) {
 	for i := range items.Claims {
 		n.handleClaim(now, &items.Claims[i], true)
@@ -268,32 +272,33 @@
 	for i := range items.Rumours {
 		n.handleRumour(now, &items.Rumours[i])
 	}
-	contact := fingerprintSet(items.Alive)
+	reachable := fingerprintSet(items.Alive)
 	for _, m := range n.members {
-		if m.state == dead && contact[nameFingerprint(m.hash)] {
-			n.queueCheck(m) // somebody has contact with it: look again
+		if m.state == dead && reachable[nameFingerprint(m.hash)] {
+			n.queueCheck(m) // another instance is in contact with the member: probe it
 		}
 	}
 }
 
-// learnAddr takes the address at which another sees us, where ours is not known. One may lie; most do not.
-func (n *Node) learnAddr(now time.Duration, who string, seen netip.Addr) {
-	if !n.config.Learn || who == "" || !seen.IsValid() {
+// learnAddr records the address at which another instance sees this one, if this one's address is to be learned. The address
+// reported by most instances is used, as single ones may lie.
+func (n *Node) learnAddr(now time.Duration, reporter string, addr netip.Addr) {
+	if !n.config.Learn || reporter == "" || !addr.IsValid() {
 		return
 	}
-	seen = seen.Unmap()
-	if n.observedAddrs[seen] == nil {
+	addr = addr.Unmap()
+	if n.observedAddrs[addr] == nil {
 		if len(n.observedAddrs) >= 8 {
 			return
 		}
-		n.observedAddrs[seen] = map[string]bool{}
+		n.observedAddrs[addr] = map[string]bool{}
 	}
-	if len(n.observedAddrs[seen]) < n.config.Members {
-		n.observedAddrs[seen][who] = true
+	if len(n.observedAddrs[addr]) < n.config.Members {
+		n.observedAddrs[addr][reporter] = true
 	}
 	best := n.own.Addr.Addr()
-	for a, by := range n.observedAddrs {
-		if len(by) > len(n.observedAddrs[best]) || len(by) == len(n.observedAddrs[best]) && best != n.own.Addr.Addr() && a.Less(best) {
+	for a, reporters := range n.observedAddrs {
+		if len(reporters) > len(n.observedAddrs[best]) || len(reporters) == len(n.observedAddrs[best]) && best != n.own.Addr.Addr() && a.Less(best) {
 			best = a
 		}
 	}
