--- a/internal/gossip/credit.go
+++ b/internal/gossip/credit.go
@@ -26,13 +26,15 @@
 
 // credit returns the weight, from 0 to 1, that this instance gives to a member's rumours about servers.
 func (m *member) credit(now time.Duration) float64 {
-	confirmed, contradicted := decay(m.confirmed, now-m.creditUpdatedAt, creditDecayTime), decay(m.contradicted, now-m.creditUpdatedAt, creditDecayTime)
+	confirmed, contradicted := decay(m.confirmed, now-m.creditUpdatedAt, creditDecayTime),
+		decay(m.contradicted, now-m.creditUpdatedAt, creditDecayTime)
 	return (priorConfirmations + confirmed) / (priorConfirmations + priorContradictions + confirmed + contradictionWeight*contradicted)
 }
 
 // decayCredit decays both counts to now.
 func (m *member) decayCredit(now time.Duration) {
-	m.confirmed, m.contradicted = decay(m.confirmed, now-m.creditUpdatedAt, creditDecayTime), decay(m.contradicted, now-m.creditUpdatedAt, creditDecayTime)
+	m.confirmed, m.contradicted = decay(m.confirmed, now-m.creditUpdatedAt, creditDecayTime),
+		decay(m.contradicted, now-m.creditUpdatedAt, creditDecayTime)
 	m.creditUpdatedAt = now
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -181,11 +181,11 @@
 	for _, p := range n.probes {
 		at = min(at, p.nextEventAt())
 	}
-	for _, e := range n.relayedPings {
-		if e.nacked {
-			at = min(at, e.deadline)
+	for _, r := range n.relayedPings {
+		if r.nacked {
+			at = min(at, r.deadline)
 		} else {
-			at = min(at, e.nackAt)
+			at = min(at, r.nackAt)
 		}
 	}
 	at = max(at, now+time.Millisecond)
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -63,27 +63,27 @@
 // replayWindow records which datagrams of a run have been received: the highest counter, and the 64 counters up to it as a
 // bit mask.
 type replayWindow struct {
-	newest uint64
-	mask   uint64
+	highest uint64
+	mask    uint64
 }
 
 // accept records a counter. It returns false if the counter has been received before or is too old to tell.
-func (w *replayWindow) accept(number uint64) bool {
+func (w *replayWindow) accept(counter uint64) bool {
 	switch {
-	case number == 0:
+	case counter == 0:
 		return false
-	case number > w.newest:
-		if shift := number - w.newest; shift < 64 {
+	case counter > w.highest:
+		if shift := counter - w.highest; shift < 64 {
 			w.mask = w.mask<<shift | 1
 		} else {
 			w.mask = 1
 		}
-		w.newest = number
+		w.highest = counter
 		return true
-	case w.newest-number >= 64 || w.mask>>(w.newest-number)&1 == 1:
+	case w.highest-counter >= 64 || w.mask>>(w.highest-counter)&1 == 1:
 		return false
 	}
-	w.mask |= 1 << (w.newest - number)
+	w.mask |= 1 << (w.highest - counter)
 	return true
 }
 
@@ -385,7 +385,8 @@
 		m.suspectUntil = now + 2*n.scaled(n.config.SuspectFor)
 		n.applyConfirmations(now, m)
 		if len(m.accusedBy) < maxAccusers && !n.inactive {
-			c := Claim{Kind: Accused, Name: m.name, Incarnation: m.claim.Incarnation, By: n.config.Name, Key: n.own.Key, Run: n.own.Run, Clock: now}
+			c := Claim{Kind: Accused, Name: m.name, Incarnation: m.claim.Incarnation, By: n.config.Name,
+				Key: n.own.Key, Run: n.own.Run, Clock: now}
 			m.accusedBy = append(m.accusedBy, accuser{n.config.Name, now})
 			n.queueUpdate(now, update{claim: c, subject: m.name})
 		}
@@ -420,7 +421,7 @@
 		if c.Incarnation >= n.own.Incarnation && !n.inactive && (n.refutedAt == 0 || now-n.refutedAt >= n.config.ProbeEvery) {
 			n.counts.Refutations++
 			n.refutedAt = now
-			n.own.Incarnation = c.Incarnation // no accuser can make it skip numbers
+			n.own.Incarnation = c.Incarnation // so that the next incarnation supersedes the accusation
 			n.adjustHealthScore(1)
 			n.bumpIncarnation(now)
 		}
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -37,7 +37,7 @@
 // The symptoms. Well only withdraws an earlier rumour; it says nothing about the server.
 const (
 	Well        Symptom = iota // withdraws an earlier rumour
-	Silent                     // has not answered for longer than chance explains
+	Silent                     // has owed replies for longer than random variation explains
 	Unreachable                // no connection can be made, or connections break
 	Failing                    // answers with errors or busy replies
 	Late                       // answers, but late
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -106,13 +106,14 @@
 // startProbe pings a member.
 func (n *Node) startProbe(now time.Duration, m *member) {
 	n.lastProbeNumber++
-	p := &probe{target: m, number: n.lastProbeNumber, startedAt: now, indirectAt: now + n.scaled(n.config.ProbeTimeout), deadline: now + n.scaled(n.config.ProbeEvery)}
+	p := &probe{target: m, number: n.lastProbeNumber, startedAt: now,
+		indirectAt: now + n.scaled(n.config.ProbeTimeout), deadline: now + n.scaled(n.config.ProbeEvery)}
 	n.probes = append(n.probes, p)
 	n.send(now, m, n.withUpdates(now, m, &Message{Kind: Ping, Number: p.number}))
 }
 
-// processTimeouts asks helpers for the probes that are due for it, judges probes that have failed, and sends the Nacks that
-// are due for relayed pings.
+// processTimeouts asks helpers for indirect pings where a probe has timed out, judges probes that have failed, and sends the
+// Nacks that are due for relayed pings.
 func (n *Node) processTimeouts(now time.Duration) {
 	var failed []*probe
 	n.probes = slices.DeleteFunc(n.probes, func(p *probe) bool {
@@ -141,16 +142,16 @@
 		}
 		n.handleProbeFailure(now, p.target)
 	}
-	n.relayedPings = slices.DeleteFunc(n.relayedPings, func(e *relayedPing) bool {
-		if !e.nacked && now >= e.nackAt {
-			e.nacked = true
-			n.send(now, e.requester, &Message{Kind: Nack, Number: e.requesterNumber})
+	n.relayedPings = slices.DeleteFunc(n.relayedPings, func(r *relayedPing) bool {
+		if !r.nacked && now >= r.nackAt {
+			r.nacked = true
+			n.send(now, r.requester, &Message{Kind: Nack, Number: r.requesterNumber})
 		}
-		return now >= e.deadline
+		return now >= r.deadline
 	})
 }
 
-// handleMessage acts on the kind of a message: it answers pings, matches acks and Nacks, and relays pings.
+// handleMessage acts on a message by its kind: it answers and relays pings, and matches acks and Nacks with probes.
 func (n *Node) handleMessage(now time.Duration, m *member, msg *Message) {
 	if n.inactive {
 		return
@@ -166,16 +167,16 @@
 		if i := slices.IndexFunc(n.probes, func(p *probe) bool { return p.number == msg.Number && p.target == m }); i >= 0 {
 			n.probes = slices.Delete(n.probes, i, i+1)
 			n.adjustHealthScore(-1)
-		} else if i := slices.IndexFunc(n.relayedPings, func(e *relayedPing) bool { return e.number == msg.Number && e.target == m }); i >= 0 {
-			e := n.relayedPings[i]
+		} else if i := slices.IndexFunc(n.relayedPings, func(r *relayedPing) bool { return r.number == msg.Number && r.target == m }); i >= 0 {
+			r := n.relayedPings[i]
 			n.relayedPings = slices.Delete(n.relayedPings, i, i+1)
-			n.send(now, e.requester, &Message{Kind: Ack, Number: e.requesterNumber, Claims: []Claim{m.claim}})
+			n.send(now, r.requester, &Message{Kind: Ack, Number: r.requesterNumber, Claims: []Claim{m.claim}})
 		}
 	case PingFor:
 		if to := n.byName[msg.Target]; to != nil && to != m && len(n.relayedPings) < 4*probeHelpers && to.state != left {
 			n.lastProbeNumber++
-			n.relayedPings = append(n.relayedPings, &relayedPing{number: n.lastProbeNumber, target: to, requesterNumber: msg.Number, requester: m,
-				nackAt: now + n.config.ProbeTimeout, deadline: now + n.config.ProbeEvery})
+			n.relayedPings = append(n.relayedPings, &relayedPing{number: n.lastProbeNumber, target: to, requesterNumber: msg.Number,
+				requester: m, nackAt: now + n.config.ProbeTimeout, deadline: now + n.config.ProbeEvery})
 			n.send(now, to, &Message{Kind: Ping, Number: n.lastProbeNumber, Prove: true})
 		}
 	case Nack:
--- a/internal/gossip/rumour.go
+++ b/internal/gossip/rumour.go
@@ -46,15 +46,15 @@
 
 const (
 	futureToleranceDivisor = 4    // a rumour may seem to come from the future by RumourLife divided by this
-	sufficientWeight       = 2.0  // weight of the others' rumours from which on this instance adds none of its own
-	alwaysPlausibleServers = 4    // up to so many servers may all be in trouble without casting doubt on this instance
+	sufficientWeight       = 2.0  // weight of the others' rumours at which this instance adds none of its own
+	alwaysPlausibleServers = 4    // number of servers that may all be in trouble without casting doubt on this instance
 	minRelayCredit         = 0.1  // rumours of observers with less credit are not passed on
-	minDifference          = 0.05 // differences of weight or credit up to this are ignored
-	minRumourShare         = 4    // rumours that any observer may make within RumourLife
+	minDifference          = 0.05 // smaller differences of weight or credit are ignored
+	minRumourShare         = 4    // rumours that even an observer without credit may make within RumourLife
 	symptomDelayDivisor    = 4    // a symptom must last for ProbeEvery divided by this before it is announced
 )
 
-// serverFor returns what is held serverFor a server, and makes it where it is not.
+// serverFor returns the record of a server, which it creates if there is none.
 func (n *Node) serverFor(id uint64) *server {
 	s := n.serversByID[id]
 	if s == nil {
@@ -65,7 +65,7 @@
 	return s
 }
 
-// handleRumour takes one handleRumour, from whomever it came.
+// handleRumour handles a rumour, whoever passed it on.
 func (n *Node) handleRumour(now time.Duration, relayed *Told) {
 	r := &relayed.Rumour
 	m := n.byName[r.Observer]
@@ -84,14 +84,14 @@
 		return
 	}
 	if ahead > 0 {
-		m.clockOffset += ahead // it cannot have been made later than now
+		m.clockOffset += ahead // the rumour cannot have been made later than now
 	}
 	age := max(relayed.Age, m.clock(now)-r.Made, 0)
 	if age > n.config.RumourLife {
 		n.counts.RumoursOld++
 		return
 	}
-	s, had := n.serversByID[r.Server], false
+	s, reportedTrouble := n.serversByID[r.Server], false
 	var old *entry
 	if s != nil {
 		if i := slices.IndexFunc(s.entries, func(e *entry) bool { return e.Observer == r.Observer }); i >= 0 {
@@ -101,7 +101,7 @@
 				return
 			}
 			old = e
-			had = e.Symptom != Well
+			reportedTrouble = e.Symptom != Well
 		}
 	}
 	if !m.allowRumour(now, max(minRumourShare, float64(n.config.RumoursPerObserver)*m.credit(now)), n.config.RumourLife) {
@@ -125,15 +125,15 @@
 		m.addConfirmed(now, 0.25) // less than for a rumour that comes before this instance's own observation
 	}
 	// Rumours of observers without credit are not passed on, nor are withdrawals of rumours that were not held here.
-	if m.credit(now) >= minRelayCredit && (had || e.Symptom != Well) {
+	if m.credit(now) >= minRelayCredit && (reportedTrouble || e.Symptom != Well) {
 		n.queueUpdate(now, update{rumour: e})
 	}
 	n.updateWeight(now, r.Server)
 }
 
-// allowRumour limits the rate of an observer's rumours by a leaky bucket and reports whether one more is allowed. The bucket
-// holds share rumours, which depends on the observer's credit, and drains that many within the life of a rumour. So an
-// observer that lies soon takes little of the common capacity.
+// allowRumour limits the rate of an observer's rumours by a leaky bucket and reports whether one more is allowed. The bucket's
+// capacity is share, which depends on the observer's credit, and it drains fully within the life of a rumour. So an observer
+// that lies soon takes little of the common capacity.
 func (m *member) allowRumour(now time.Duration, share float64, life time.Duration) bool {
 	m.rumourLevel = max(0, m.rumourLevel-float64(now-m.rumourLevelAt)/float64(life)*share)
 	m.rumourLevelAt = now
@@ -145,8 +145,8 @@
 }
 
 // makeRoom makes room for a rumour and reports whether there is any. The rumours of one observer and the observers of one
-// server are bounded. If the whole table is full, the observer with the most rumours loses its oldest one, so that an
-// observer that sends many displaces its own.
+// server are bounded; of those the one with the least credit gives way to one with more. If the whole table is full, the
+// observer with the most rumours loses its oldest one, so that an observer that sends many displaces its own.
 func (t *rumourTable) makeRoom(n *Node, now time.Duration, e *entry) bool {
 	if held := t.byObserver[e.Observer]; len(held) >= n.config.RumoursPerObserver {
 		t.remove(n, held[0])
@@ -222,8 +222,8 @@
 	}
 }
 
-// updateWeight recomputes the weight of the rumours about a server and reports it to the host if it has changed enough. It
-// removes the server if there is nothing left to hold.
+// updateWeight recomputes the weight of the rumours about a server and reports it to the host if it has become 0 or has
+// changed by more than minDifference. It removes the server if there is nothing left to hold.
 func (n *Node) updateWeight(now time.Duration, id uint64) {
 	s := n.serversByID[id]
 	if s == nil {
@@ -266,7 +266,8 @@
 	}
 	if len(n.members) > 0 {
 		for _, m := range slices.Clone(n.members) {
-			if (m.state == left || m.state == dead) && now-m.since > deadRetentionRounds*n.config.ProbeEvery && len(n.members) > n.config.Members/2 {
+			if (m.state == left || m.state == dead) && now-m.since > deadRetentionRounds*n.config.ProbeEvery &&
+				len(n.members) > n.config.Members/2 {
 				n.removeMember(m)
 			}
 		}
@@ -298,7 +299,8 @@
 	n.scheduleWake(now)
 }
 
-// Recovered is called when this instance's own trouble with a server has ended. It withdraws the rumour about it.
+// Recovered is called when this instance's own trouble with a server has ended. It withdraws the rumour about it, if one
+// was announced.
 func (n *Node) Recovered(now time.Duration, id uint64) {
 	n.detectPause(now)
 	s := n.serversByID[id]
@@ -324,7 +326,8 @@
 	}
 	contradicted := false
 	for _, e := range s.entries {
-		if e.observer == nil || e.Symptom == Well || e.arrivedAt > sentAt || e.contradictedAt > 0 && now-e.contradictedAt < 2*n.config.ProbeEvery {
+		if e.observer == nil || e.Symptom == Well || e.arrivedAt > sentAt ||
+			e.contradictedAt > 0 && now-e.contradictedAt < 2*n.config.ProbeEvery {
 			continue
 		}
 		e.contradictedAt, contradicted = now, true
@@ -350,9 +353,11 @@
 	switch {
 	case now-s.own.since < n.config.ProbeEvery/symptomDelayDivisor: // on a busy server the next reply may end the symptom
 		return
-	case s.own.announced && (now-s.own.announcedAt < n.config.RumourLife/2 || s.own.lastSeenAt <= s.own.announcedAt): // no renewal due, or no new evidence
+	// No renewal is due, or there is no new evidence.
+	case s.own.announced && (now-s.own.announcedAt < n.config.RumourLife/2 || s.own.lastSeenAt <= s.own.announcedAt):
 		return
-	case s.own.announcedAt > 0 && now-s.own.announcedAt < n.config.ProbeEvery, !s.own.announced && now-s.own.lastSeenAt > n.config.RumourLife/2:
+	case s.own.announcedAt > 0 && now-s.own.announcedAt < n.config.ProbeEvery,
+		!s.own.announced && now-s.own.lastSeenAt > n.config.RumourLife/2:
 		return
 	}
 	if s.totalWeight(now) >= sufficientWeight {
--- a/internal/gossip/sim_test.go
+++ b/internal/gossip/sim_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// land is a small network in virtual time for the tests of this package; the emulator has a larger one.
+// simNetwork is a small network in virtual time for the tests of this package; the emulator has a larger one.
 type simNetwork struct {
 	t          *testing.T
 	now        time.Duration
-	seq        int
+	seq        int // orders events of the same time
 	queue      events
 	rng        *rand.Rand
 	nodes      []*simNode
-	loss       float64
-	blocked    func(from, to int) bool
-	onDelivery func(from, to int, m *Message)
+	loss       float64                        // probability that a datagram is lost
+	blocked    func(from, to int) bool        // whether nothing gets through between two instances
+	onDelivery func(from, to int, m *Message) // called for each datagram that is not lost
 }
 
 type event struct {
@@ -43,20 +43,20 @@
 	return last
 }
 
-// inhabitant is one instance; it is the node's Host.
+// simNode is one instance. It is the Host of its node.
 type simNode struct {
 	*Node
 	net         *simNetwork
 	index       int
-	startedAt   time.Duration // when this run started
+	startedAt   time.Duration // of this run, by the network's clock
 	run         uint64
-	counter     uint64
-	wakeSeq     int
+	counter     uint64 // of the last datagram sent in this run
+	wakeSeq     int    // identifies the latest Wake
 	down        bool
-	pausedUntil time.Duration // until
-	weights     map[uint64]float64
+	pausedUntil time.Duration
+	weights     map[uint64]float64 // by server, as last reported by the node
 	log         []string
-	bytes       int
+	bytes       int // sent in datagrams
 }
 
 func nodeAddr(i int) netip.AddrPort {
@@ -64,27 +64,28 @@
 }
 
 func newSimNetwork(t *testing.T, count int, seed uint64) *simNetwork {
-	l := &simNetwork{t: t, rng: rand.New(rand.NewPCG(seed, 7))}
+	net := &simNetwork{t: t, rng: rand.New(rand.NewPCG(seed, 7))}
 	for i := range count {
-		h := &simNode{net: l, index: i}
-		l.nodes = append(l.nodes, h)
+		h := &simNode{net: net, index: i}
+		net.nodes = append(net.nodes, h)
 		h.start(nil)
 	}
-	return l
+	return net
 }
 
-// start makes a run of the instance that knows nothing of earlier ones.
-func (h *simNode) start(change func(*Setup)) {
+// start starts a run of the instance that has no state of earlier runs.
+func (h *simNode) start(adjust func(*Setup)) {
 	h.run = h.net.rng.Uint64()
 	h.startedAt, h.counter, h.down, h.weights = h.net.now, 0, false, map[uint64]float64{}
-	s := Setup{Name: fmt.Sprintf("n%03d", h.index), Key: KeyID{byte(h.index >> 8), byte(h.index), 1}, Run: h.run, Seed: uint64(h.index), Addr: nodeAddr(h.index),
-		Seeds: []netip.AddrPort{nodeAddr(0), nodeAddr(1)}, ProbeEvery: time.Second, ProbeTimeout: 400 * time.Millisecond,
+	c := Setup{Name: fmt.Sprintf("n%03d", h.index), Key: KeyID{byte(h.index >> 8), byte(h.index), 1}, Run: h.run,
+		Seed: uint64(h.index), Addr: nodeAddr(h.index), Seeds: []netip.AddrPort{nodeAddr(0), nodeAddr(1)}, ProbeEvery: time.Second, ProbeTimeout: 400 * time.Millisecond,
 		SuspectFor: 4 * time.Second, TellEvery: 200 * time.Millisecond, SyncEvery: 20 * time.Second, RumourLife: 30 * time.Second,
-		Members: 512, Rumours: 2048, RumoursPerObserver: 64, ObserversPerServer: 5, Datagram: 1200, DatagramsPerTell: 3, BytesPerSecond: 8000}
-	if change != nil {
-		change(&s)
+		Members: 512, Rumours: 2048, RumoursPerObserver: 64, ObserversPerServer: 5,
+		Datagram: 1200, DatagramsPerTell: 3, BytesPerSecond: 8000}
+	if adjust != nil {
+		adjust(&c)
 	}
-	h.Node = New(h, s)
+	h.Node = New(h, c)
 	n := h.Node
 	h.net.schedule(h.net.now+time.Duration(h.net.rng.IntN(1000))*time.Millisecond, func() {
 		if h.Node == n && !h.down {
@@ -95,21 +96,22 @@
 
 func (h *simNode) localTime() time.Duration { return h.net.now - h.startedAt }
 
-func (l *simNetwork) schedule(at time.Duration, do func()) {
-	l.seq++
-	heap.Push(&l.queue, event{at, l.seq, do})
+func (net *simNetwork) schedule(at time.Duration, do func()) {
+	net.seq++
+	heap.Push(&net.queue, event{at, net.seq, do})
 }
 
-func (l *simNetwork) run(until time.Duration) {
-	for len(l.queue) > 0 && l.queue[0].at <= until {
-		e := heap.Pop(&l.queue).(event)
-		l.now = e.at
+func (net *simNetwork) run(until time.Duration) {
+	for len(net.queue) > 0 && net.queue[0].at <= until {
+		e := heap.Pop(&net.queue).(event)
+		net.now = e.at
 		e.do()
 	}
-	l.now = until
+	net.now = until
 }
 
-// scheduleHere does something at an instance, later if it is paused, never if it has gone meanwhile.
+// scheduleHere schedules an event at the instance. The event waits for the end of a pause and is dropped if the run has ended
+// by then.
 func (h *simNode) scheduleHere(after time.Duration, do func()) {
 	n := h.Node
 	var try func()
@@ -125,49 +127,49 @@
 	h.net.schedule(h.net.now+after, try)
 }
 
-func (l *simNetwork) randomDelay() time.Duration {
-	return time.Duration(500+l.rng.IntN(2000)) * time.Microsecond
+func (net *simNetwork) randomDelay() time.Duration {
+	return time.Duration(500+net.rng.IntN(2000)) * time.Microsecond
 }
 
-func (l *simNetwork) nodeAt(at netip.AddrPort) *simNode {
+func (net *simNetwork) nodeAt(at netip.AddrPort) *simNode {
 	a := at.Addr().As4()
-	if i := int(a[2])<<8 | int(a[3]); i < len(l.nodes) {
-		return l.nodes[i]
+	if i := int(a[2])<<8 | int(a[3]); i < len(net.nodes) {
+		return net.nodes[i]
 	}
 	return nil
 }
 
 func (h *simNode) Datagram(to netip.AddrPort, _ KeyID, m *Message) {
-	l, x := h.net, h.net.nodeAt(to)
+	net, peer := h.net, h.net.nodeAt(to)
 	h.counter++
 	h.bytes += m.Bytes()
 	d := Datagram{From: h.config.Name, Key: h.own.Key, Run: h.run, Counter: h.counter, Message: m}
 	if m.Bytes() > h.config.Datagram+28 {
-		l.t.Errorf("a datagram of %d bytes", m.Bytes())
+		net.t.Errorf("datagram of %d bytes, want at most %d", m.Bytes(), h.config.Datagram+28)
 	}
-	if x == nil || l.blocked != nil && l.blocked(h.index, x.index) || l.rng.Float64() < l.loss {
+	if peer == nil || net.blocked != nil && net.blocked(h.index, peer.index) || net.rng.Float64() < net.loss {
 		return
 	}
-	if l.onDelivery != nil {
-		l.onDelivery(h.index, x.index, m)
+	if net.onDelivery != nil {
+		net.onDelivery(h.index, peer.index, m)
 	}
-	x.scheduleHere(l.randomDelay(), func() { x.Received(x.localTime(), d) })
-	if l.loss > 0 && l.rng.Float64() < l.loss { // and where there is loss, some come twice, out of order
-		x.scheduleHere(l.randomDelay()*5, func() { x.Received(x.localTime(), d) })
+	peer.scheduleHere(net.randomDelay(), func() { peer.Received(peer.localTime(), d) })
+	if net.loss > 0 && net.rng.Float64() < net.loss { // a lossy network also duplicates and reorders datagrams
+		peer.scheduleHere(net.randomDelay()*5, func() { peer.Received(peer.localTime(), d) })
 	}
 }
 
 func (h *simNode) Exchange(with netip.AddrPort, d *Digest) {
-	l, x := h.net, h.net.nodeAt(with)
-	if x == nil || x.down || l.blocked != nil && (l.blocked(h.index, x.index) || l.blocked(x.index, h.index)) {
+	net, peer := h.net, h.net.nodeAt(with)
+	if peer == nil || peer.down || net.blocked != nil && (net.blocked(h.index, peer.index) || net.blocked(peer.index, h.index)) {
 		h.scheduleHere(time.Second, func() { h.ExchangeFailed(h.localTime(), with) })
 		return
 	}
-	x.scheduleHere(l.randomDelay(), func() {
-		items := x.Asked(x.localTime(), d, nodeAddr(h.index).Addr())
-		h.scheduleHere(l.randomDelay(), func() {
+	peer.scheduleHere(net.randomDelay(), func() {
+		items := peer.Asked(peer.localTime(), d, nodeAddr(h.index).Addr())
+		h.scheduleHere(net.randomDelay(), func() {
 			if give := h.Exchanged(h.localTime(), items); give != nil {
-				x.scheduleHere(l.randomDelay(), func() { x.Given(x.localTime(), give) })
+				peer.scheduleHere(net.randomDelay(), func() { peer.Given(peer.localTime(), give) })
 			}
 		})
 	})
@@ -186,22 +188,22 @@
 func (h *simNode) Rumoured(server uint64, weight float64) { h.weights[server] = weight }
 func (h *simNode) Log(event, name string)                 { h.log = append(h.log, event+" "+name) }
 
-// countStatuses counts, over all instances that run, how they hold the others.
-func (l *simNetwork) countStatuses() map[Standing]int {
-	all := map[Standing]int{}
-	for _, h := range l.nodes {
+// countStatuses counts the members by status, over all running instances.
+func (net *simNetwork) countStatuses() map[Standing]int {
+	counts := map[Standing]int{}
+	for _, h := range net.nodes {
 		if !h.down {
 			for _, p := range h.Peers() {
-				all[p.Standing]++
+				counts[p.Standing]++
 			}
 		}
 	}
-	return all
+	return counts
 }
 
-// countInformed counts who is told of a server.
-func (l *simNetwork) countInformed(server uint64) (count int) {
-	for _, h := range l.nodes {
+// countInformed counts the running instances at which rumours about a server have weight.
+func (net *simNetwork) countInformed(server uint64) (count int) {
+	for _, h := range net.nodes {
 		if !h.down && h.weights[server] > 0 {
 			count++
 		}
@@ -210,56 +212,56 @@
 }
 
 func TestMembersDiscoverEachOtherThroughSeed(t *testing.T) {
-	l := newSimNetwork(t, 50, 1)
-	l.run(60 * time.Second)
-	if got := l.countStatuses(); got[IsAlive] != 50*49 || len(got) != 1 {
-		t.Errorf("%v", got)
+	net := newSimNetwork(t, 50, 1)
+	net.run(60 * time.Second)
+	if got := net.countStatuses(); got[IsAlive] != 50*49 || len(got) != 1 {
+		t.Errorf("got members by status %v, want %d alive and no others", got, 50*49)
 	}
 }
 
 func TestRumourAndWithdrawalReachAllMembers(t *testing.T) {
-	l := newSimNetwork(t, 50, 2)
-	l.run(60 * time.Second)
-	h := l.nodes[7]
+	net := newSimNetwork(t, 50, 2)
+	net.run(60 * time.Second)
+	h := net.nodes[7]
 	h.Symptom(h.localTime(), 99, Silent, 255)
-	at := l.now
-	for l.countInformed(99) < 49 && l.now < at+10*time.Second {
-		l.run(l.now + 50*time.Millisecond)
+	announcedAt := net.now
+	for net.countInformed(99) < 49 && net.now < announcedAt+10*time.Second {
+		net.run(net.now + 50*time.Millisecond)
 	}
-	if took := l.now - at; took > 2*time.Second {
-		t.Errorf("known to %d after %v", l.countInformed(99), took)
+	if took := net.now - announcedAt; took > 2*time.Second {
+		t.Errorf("%d instances informed after %v, want 49 within 2s", net.countInformed(99), took)
 	}
-	if slices.ContainsFunc(l.nodes, func(x *simNode) bool { return x.weights[99] > 0.34 }) {
-		t.Error("one observer counts for more than one")
+	if slices.ContainsFunc(net.nodes, func(node *simNode) bool { return node.weights[99] > 0.34 }) {
+		t.Error("got a weight above 0.34 from a rumour of one observer, want at most its initial credit")
 	}
 	h.Recovered(h.localTime(), 99)
-	l.run(l.now + 2*time.Second)
-	if l.countInformed(99) > 1 {
-		t.Errorf("%d still hold it", l.countInformed(99))
+	net.run(net.now + 2*time.Second)
+	if net.countInformed(99) > 1 {
+		t.Errorf("%d instances informed 2s after the withdrawal, want at most 1", net.countInformed(99))
 	}
-	l.run(l.now + 30*time.Second) // who missed it hears when it compares tables
-	if l.countInformed(99) > 0 {
-		t.Errorf("%d hold it for good", l.countInformed(99))
+	net.run(net.now + 30*time.Second) // instances that missed the withdrawal receive it by anti-entropy
+	if net.countInformed(99) > 0 {
+		t.Errorf("%d instances informed 32s after the withdrawal, want 0", net.countInformed(99))
 	}
 }
 
 func TestAllMembersDetectDeadMember(t *testing.T) {
-	l := newSimNetwork(t, 50, 3)
-	l.run(60 * time.Second)
-	h := l.nodes[20]
+	net := newSimNetwork(t, 50, 3)
+	net.run(60 * time.Second)
+	h := net.nodes[20]
 	h.Symptom(h.localTime(), 99, Silent, 255)
-	l.run(l.now + 2*time.Second)
+	net.run(net.now + 2*time.Second)
 	h.down = true
-	l.run(l.now + 12*time.Second)
-	if got := l.countStatuses(); got[IsDead] != 49 || got[IsSuspect] > 0 {
-		t.Errorf("%v", got)
+	net.run(net.now + 12*time.Second)
+	if got := net.countStatuses(); got[IsDead] != 49 || got[IsSuspect] > 0 {
+		t.Errorf("got members by status %v, want 49 dead and none suspect", got)
 	}
-	if l.countInformed(99) > 0 {
-		t.Errorf("%d hold a rumour of a dead observer", l.countInformed(99))
+	if net.countInformed(99) > 0 {
+		t.Errorf("%d instances hold a rumour of the dead observer, want 0", net.countInformed(99))
 	}
 	h.start(nil)
-	l.run(l.now + 30*time.Second)
-	if got := l.countStatuses(); got[IsAlive] != 50*49 {
-		t.Errorf("after its return: %v", got)
+	net.run(net.now + 30*time.Second)
+	if got := net.countStatuses(); got[IsAlive] != 50*49 {
+		t.Errorf("got members by status %v after the restart, want %d alive", got, 50*49)
 	}
 }
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -20,39 +20,39 @@
 // one instance in e^k receives nothing, however many instances there are. A rumour about a server has to reach nearly all of
 // them within a second or two. Claims are long, and an instance that misses one receives it in its next anti-entropy
 // exchange, so they are sent fewer times.
-func (i *update) done() bool {
-	return i.transmissions >= rumourTransmissions || i.rumour == nil && i.transmissions >= claimTransmissions
+func (u *update) done() bool {
+	return u.transmissions >= rumourTransmissions || u.rumour == nil && u.transmissions >= claimTransmissions
 }
 
 // replaces reports whether the update makes another one stale.
-func (i *update) replaces(o *update) bool {
-	if i.rumour != nil || o.rumour != nil {
-		return i.rumour == o.rumour
+func (u *update) replaces(o *update) bool {
+	if u.rumour != nil || o.rumour != nil {
+		return u.rumour == o.rumour
 	}
-	if i.subject != o.subject || (i.claim.Kind == Accused) != (o.claim.Kind == Accused) {
-		return i.subject == o.subject && i.claim.Kind != Accused // a member's claim about itself ends accusations against it
+	if u.subject != o.subject || (u.claim.Kind == Accused) != (o.claim.Kind == Accused) {
+		return u.subject == o.subject && u.claim.Kind != Accused // a member's claim about itself ends accusations against it
 	}
-	return i.claim.Kind != Accused || i.claim.By == o.claim.By
+	return u.claim.Kind != Accused || u.claim.By == o.claim.By
 }
 
 // queueUpdate queues an update for dissemination and drops those that it makes stale.
-func (n *Node) queueUpdate(now time.Duration, i update) {
+func (n *Node) queueUpdate(now time.Duration, u update) {
 	if n.inactive {
 		return
 	}
-	i.queuedAt = now
-	n.updates = slices.DeleteFunc(n.updates, func(o *update) bool { return i.replaces(o) })
+	u.queuedAt = now
+	n.updates = slices.DeleteFunc(n.updates, func(o *update) bool { return u.replaces(o) })
 	if limit := 2*n.config.Members + n.config.Rumours; len(n.updates) >= limit {
 		n.updates = slices.Delete(n.updates, 0, 1) // the first in the queue; anti-entropy repairs what is missed
 	}
-	n.updates = append(n.updates, &i)
+	n.updates = append(n.updates, &u)
 	n.nextTell = max(n.nextTell, now)
 	n.wakeBy(n.nextTell)
 }
 
 // dequeueRumour removes a rumour that is no longer held from the updates.
 func (n *Node) dequeueRumour(e *entry) {
-	n.updates = slices.DeleteFunc(n.updates, func(i *update) bool { return i.rumour == e })
+	n.updates = slices.DeleteFunc(n.updates, func(u *update) bool { return u.rumour == e })
 }
 
 // sendUpdates runs one gossip round: it sends updates to some members drawn at random, as far as the byte budget allows.
@@ -87,34 +87,35 @@
 		return cmp.Or(cmp.Compare(a.transmissions, b.transmissions), cmp.Compare(b.queuedAt, a.queuedAt))
 	})
 	room := n.config.Datagram + 28 - msg.Bytes()
-	n.addUpdates(msg, to, &room, room/2, func(i *update) bool { return i.rumour == nil }, now) // claims first, as a rumour is dropped where its observer is unknown
-	n.addUpdates(msg, to, &room, room, func(i *update) bool { return i.rumour != nil }, now)
+	// Claims go first, as a rumour is dropped where its observer is unknown.
+	n.addUpdates(msg, to, &room, room/2, func(u *update) bool { return u.rumour == nil }, now)
+	n.addUpdates(msg, to, &room, room, func(u *update) bool { return u.rumour != nil }, now)
 	n.updates = slices.DeleteFunc(n.updates, (*update).done)
 	return msg
 }
 
 // addUpdates adds the updates that match a filter to a message, up to limit bytes, and takes their size off the room.
 func (n *Node) addUpdates(msg *Message, to *member, room *int, limit int, matches func(*update) bool, now time.Duration) {
-	for _, i := range n.updates {
-		if !matches(i) {
+	for _, u := range n.updates {
+		if !matches(u) {
 			continue
 		}
 		switch {
-		case i.rumour != nil:
-			if size := i.rumour.maxBytes(); size <= limit {
+		case u.rumour != nil:
+			if size := u.rumour.maxBytes(); size <= limit {
 				limit -= size
 				*room -= size
-				i.transmissions++
-				msg.Rumours = append(msg.Rumours, Told{i.rumour.Rumour, i.rumour.age(now)})
+				u.transmissions++
+				msg.Rumours = append(msg.Rumours, Told{u.rumour.Rumour, u.rumour.age(now)})
 			}
-		case i.subject == to.name && i.claim.Kind != Accused:
-			i.transmissions++ // the member itself needs no claim of its own
+		case u.subject == to.name && u.claim.Kind != Accused:
+			u.transmissions++ // the member itself needs no claim of its own
 		default:
-			if size := i.claim.maxBytes(); size <= limit {
+			if size := u.claim.maxBytes(); size <= limit {
 				limit -= size
 				*room -= size
-				i.transmissions++
-				msg.Claims = append(msg.Claims, i.claim)
+				u.transmissions++
+				msg.Claims = append(msg.Claims, u.claim)
 			}
 		}
 		if limit < maxAccusationBytes {
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -108,7 +108,8 @@
 		return items
 	}
 	own := d.Own
-	if own.Kind == Alive && own.By == own.Name && own.Name != n.config.Name && own.Addr.Addr().IsValid() && !own.Addr.Addr().IsUnspecified() {
+	if own.Kind == Alive && own.By == own.Name && own.Name != n.config.Name &&
+		own.Addr.Addr().IsValid() && !own.Addr.Addr().IsUnspecified() {
 		n.handleClaim(now, &own, true)
 		if m := n.byName[own.Name]; m != nil && m.run == own.Run && m.key == own.Key {
 			n.heardFrom(now, m, own.Clock)
@@ -298,7 +299,8 @@
 	}
 	best := n.own.Addr.Addr()
 	for a, reporters := range n.observedAddrs {
-		if len(reporters) > len(n.observedAddrs[best]) || len(reporters) == len(n.observedAddrs[best]) && best != n.own.Addr.Addr() && a.Less(best) {
+		if len(reporters) > len(n.observedAddrs[best]) ||
+			len(reporters) == len(n.observedAddrs[best]) && best != n.own.Addr.Addr() && a.Less(best) {
 			best = a
 		}
 	}
