--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -67,7 +67,7 @@
 	maxChecksPerRound   = 6  // members probed out of turn, because of an accusation or of an earlier failed probe
 	maxAccusers         = 3  // accusers that are kept, and passed on, for one member
 	maxAccusedByOne     = 8  // members that one accuser may accuse at a time; further accusations are ignored
-	maxFalseAccusations = 6  // recent accusations that proved false here, from which on an accuser is ignored
+	maxFalseAccusations = 6  // recent accusations proved false here at which an accuser is ignored
 	maxHealthScore      = 8  // bounds the health score, and so how far a node slows its probing down
 	rumourTransmissions = 7  // times that an instance sends a rumour
 	claimTransmissions  = 4  // times that an instance sends a claim
@@ -88,7 +88,7 @@
 	joinBackoff      time.Duration                  // time from that attempt to the one after it
 	observedAddrs    map[netip.Addr]map[string]bool // by address of this instance, the names of those that see it there
 	lastProbeNumber  uint32
-	healthScore      int           // Lifeguard's local health, from 0 (healthy) to maxHealthScore
+	healthScore      int           // Lifeguard's local health, 0 (healthy) to maxHealthScore; slows probing and suspicion
 	lastActiveAt     time.Duration // when Timer last ran or a pause was last detected
 	refutedAt        time.Duration // when the instance last refuted an accusation
 	wakeAt           time.Duration // for which Host.Wake was last called
@@ -324,10 +324,10 @@
 	Replayed           int64 // datagrams dropped as received before or too old to tell
 	Strange            int64 // datagrams dropped as from no known member, or not under its key
 	StaleRun           int64 // datagrams dropped as from a run of the sender that is not the one held
-	OwnName            int64 // datagrams dropped as sent under this instance's name, and times that another run has taken the name
+	OwnName            int64 // datagrams dropped as sent under this instance's name, and times that another run took the name
 	StaleClaims        int64 // claims dropped as not newer than the one held, or as made by another than the member
-	FutureClaims       int64 // always 0: claims with a clock in the future are not counted
-	ClaimsFull         int64 // claims dropped for lack of room, for a key in use under another name, or as leaves of unknown members
+	FutureClaims       int64 // not used; always 0
+	ClaimsFull         int64 // claims dropped for lack of room, as under a key in use by another name, or as Left of unknown members
 	Accusations        int64 // accusations received
 	AccusationsIgnored int64 // accusations received that had no effect
 	Refutations        int64 // accusations against this instance that it refuted
@@ -339,7 +339,7 @@
 	RumoursTaken       int64 // rumours accepted
 	RumoursOld         int64 // rumours dropped as older than the life of a rumour
 	RumoursFuture      int64 // rumours dropped as made in the future by the observer's clock
-	RumoursStrange     int64 // rumours dropped as their observer is not a member that is alive or suspect, under that key and run
+	RumoursStrange     int64 // rumours dropped as their observer, with that key and run, is no member that is alive or suspect
 	RumoursKnown       int64 // rumours dropped as held already, or as this instance's own
 	RumoursDropped     int64 // rumours dropped because of a bound on rate or room
 	RumoursMade        int64 // rumours made by this instance, withdrawals included
@@ -362,7 +362,7 @@
 // Status is the state of a member as this instance judges it.
 type Standing uint8
 
-// The statuses.
+// The statuses, in the order of the values of memberState.
 const (
 	IsAlive   Standing = iota // answers, as far as is known
 	IsSuspect                 // has failed a probe of this instance
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -102,7 +102,7 @@
 
 // Upper bounds on encoded sizes in bytes. A test of the codec checks them.
 const (
-	maxDatagramOverheadBytes = 28 + 140 // headers of IP and UDP, then the header, both authentications and the message itself
+	maxDatagramOverheadBytes = 28 + 140 // headers of IP and UDP; then own header, both authentications, message without items
 	maxClaimBytes            = 245      // with the signer's certificate, without the names
 	maxAccusationBytes       = 120      // without the name
 	maxRumourBytes           = 125
@@ -149,10 +149,12 @@
 type Items struct {
 	Claims  []Claim
 	Rumours []Told
-	Wants   []Mark     // of claims that the receiver holds and the sender lacks
-	Lacks   []Mark     // of rumours that the receiver holds and the sender lacks
-	Alive   []Mark     // of names alive at the sender that the receiver holds dead, or of the receiver's name if another run has it
-	SeenAt  netip.Addr // address from which the receiver's request came
+	Wants   []Mark // of claims that the receiver holds and the sender lacks
+	Lacks   []Mark // of rumours that the receiver holds and the sender lacks
+	// Of the names of members that the sender holds alive and the receiver dead, and of the receiver's own name if another
+	// run holds it at the sender.
+	Alive  []Mark
+	SeenAt netip.Addr // address from which the receiver's request came
 }
 
 // Bytes returns an upper bound on the size of a digest on a stream.
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -86,6 +86,7 @@
 	slices.SortStableFunc(n.updates, func(a, b *update) int {
 		return cmp.Or(cmp.Compare(a.transmissions, b.transmissions), cmp.Compare(b.queuedAt, a.queuedAt))
 	})
+	// Bytes counts the 28 bytes of the headers of IP and UDP, Datagram doesn't.
 	room := n.config.Datagram + 28 - msg.Bytes()
 	// Claims go first, as a rumour is dropped where its observer is unknown.
 	n.addUpdates(msg, to, &room, room/2, func(u *update) bool { return u.rumour == nil }, now)
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -24,7 +24,7 @@
 	return Mark(hash(e.Observer) ^ e.Server*0x9e3779b97f4a7c15>>9 ^ uint64(e.Number)*0xd6e8feb86659fd93>>11)
 }
 
-// nameFingerprint stands for the name with a hash.
+// nameFingerprint stands for a name, given its hash.
 func nameFingerprint(hash uint64) Mark { return Mark(hash >> 17) }
 
 // answerBudget returns how many bytes the budget leaves for an answer on a stream.
@@ -33,7 +33,7 @@
 	return max(minAnswerBytes, min(maxAnswerBytes, budgetBurstSeconds*n.config.BytesPerSecond-int(n.budgetUsed)))
 }
 
-// join starts an exchange with a seed, or with a member if any is known already.
+// join starts an exchange with a seed or, half of the time if members are known already, with one of those.
 func (n *Node) join(now time.Duration) {
 	n.joinAt = now + n.joinBackoff
 	n.joinBackoff = min(2*n.joinBackoff, 10*n.config.ProbeEvery)
@@ -166,6 +166,7 @@
 	return m.fingerprint()
 }
 
+// fingerprintSet returns the fingerprints of a list as a set.
 func fingerprintSet(list []Mark) map[Mark]bool {
 	set := make(map[Mark]bool, len(list))
 	for _, f := range list {
@@ -211,11 +212,11 @@
 	if n.inactive && n.own.Kind == Left {
 		return nil
 	}
-	name := "" // of the instance that has answered
+	responder := "" // name of the instance that has answered
 	if len(items.Claims) > 0 && items.Claims[0].Kind == Alive {
-		name = items.Claims[0].Name // an answer begins with the sender's claim about itself
+		responder = items.Claims[0].Name // an answer begins with the sender's claim about itself
 	}
-	n.learnAddr(now, name, items.SeenAt)
+	n.learnAddr(now, responder, items.SeenAt)
 	n.applyItems(now, items)
 	if slices.Contains(items.Alive, nameFingerprint(hash(n.config.Name))) {
 		return nil // another run holds this instance's name there, so no claim or rumour of this one would count
@@ -223,7 +224,7 @@
 	if !n.joined {
 		n.joined, n.inactive = true, false
 		n.joinBackoff = n.config.ProbeEvery
-		n.host.Log("joined", name)
+		n.host.Log("joined", responder)
 		n.bumpIncarnation(now)
 		n.nextProbe = now + n.jitter(n.config.ProbeEvery)
 	}
@@ -232,16 +233,16 @@
 	}
 	give := &Items{}
 	room := n.answerBudget(now)
-	wants, lacks := fingerprintSet(items.Wants), fingerprintSet(items.Lacks)
+	missingClaims, missingRumours := fingerprintSet(items.Wants), fingerprintSet(items.Lacks)
 	for _, m := range n.members {
-		if wants[m.fingerprint()] && m.claim.maxBytes() <= room {
+		if missingClaims[m.fingerprint()] && m.claim.maxBytes() <= room {
 			room -= m.claim.maxBytes()
 			give.Claims = append(give.Claims, m.claim)
 		}
 	}
 	for _, name := range n.rumours.observers {
 		for _, e := range n.rumours.byObserver[name] {
-			if size := e.maxBytes(); lacks[e.fingerprint()] && size <= room {
+			if size := e.maxBytes(); missingRumours[e.fingerprint()] && size <= room {
 				room -= size
 				give.Rumours = append(give.Rumours, Told{e.Rumour, e.age(now)})
 			}
