--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -6,121 +6,127 @@
 	"time"
 )
 
-// item is news: a claim, or a rumour where that is set. It is told a bounded number of times, the newest and least told
-// first.
-type item struct {
-	claim  Claim
-	rumour *entry
-	about  string // of a claim: whom it is of
-	told   int
-	at     time.Duration
+// update is a claim, or a rumour where that is set, that is being disseminated. It is sent a bounded number of times. Updates
+// sent fewer times go first, and the newest of those.
+type update struct {
+	claim         Claim
+	rumour        *entry
+	subject       string // of a claim: name of the member that it is about
+	transmissions int
+	queuedAt      time.Duration
 }
 
-// done tells whether an item has been told often enough. Where each hearer tells k others drawn by chance, about one in
-// e^k hears nothing, however many there are. A rumour on a server is to reach nearly all within a second or two; who misses
-// a word on a member hears it at the next comparison of tables, and those words are long.
-func (i *item) done() bool { return i.told >= tellRumour || i.rumour == nil && i.told >= tellClaim }
+// done reports whether the update has been sent often enough. When each receiver sends it to k others drawn at random, about
+// one instance in e^k receives nothing, however many instances there are. A rumour about a server has to reach nearly all of
+// them within a second or two. Claims are long, and an instance that misses one receives it in its next anti-entropy
+// exchange, so they are sent fewer times.
+func (u *update) done() bool {
+	return u.transmissions >= rumourTransmissions || u.rumour == nil && u.transmissions >= claimTransmissions
+}
 
-// replaces tells whether one item makes another stale.
-func (i *item) replaces(o *item) bool {
-	if i.rumour != nil || o.rumour != nil {
-		return i.rumour == o.rumour
+// replaces reports whether the update makes another one stale.
+func (u *update) replaces(o *update) bool {
+	if u.rumour != nil || o.rumour != nil {
+		return u.rumour == o.rumour
 	}
-	if i.about != o.about || (i.claim.Kind == Accused) != (o.claim.Kind == Accused) {
-		return i.about == o.about && i.claim.Kind != Accused // what a member says of itself ends accusations
+	if u.subject != o.subject || (u.claim.Kind == Accused) != (o.claim.Kind == Accused) {
+		return u.subject == o.subject && u.claim.Kind != Accused // a member's claim about itself ends accusations against it
 	}
-	return i.claim.Kind != Accused || i.claim.By == o.claim.By
+	return u.claim.Kind != Accused || u.claim.By == o.claim.By
 }
 
-// spread queues news. What it makes stale is told no more.
-func (n *Node) spread(now time.Duration, i item) {
-	if n.quiet {
+// queueUpdate queues an update for dissemination and drops those that it makes stale.
+func (n *Node) queueUpdate(now time.Duration, u update) {
+	if n.inactive {
 		return
 	}
-	i.at = now
-	n.news = slices.DeleteFunc(n.news, func(o *item) bool { return i.replaces(o) })
-	if most := 2*n.set.Members + n.set.Rumours; len(n.news) >= most {
-		n.news = slices.Delete(n.news, 0, 1) // the oldest; a comparison of tables heals what is missed
+	u.queuedAt = now
+	n.updates = slices.DeleteFunc(n.updates, func(o *update) bool { return u.replaces(o) })
+	if limit := 2*n.config.Members + n.config.Rumours; len(n.updates) >= limit {
+		n.updates = slices.Delete(n.updates, 0, 1) // the first in the queue; anti-entropy repairs what is missed
 	}
-	n.news = append(n.news, &i)
+	n.updates = append(n.updates, &u)
 	n.nextTell = max(n.nextTell, now)
-	n.sooner(n.nextTell)
+	n.wakeBy(n.nextTell)
 }
 
-// unspread takes a rumour that has ended out of the news.
-func (n *Node) unspread(e *entry) {
-	n.news = slices.DeleteFunc(n.news, func(i *item) bool { return i.rumour == e })
+// dequeueRumour removes a rumour that is no longer held from the updates.
+func (n *Node) dequeueRumour(e *entry) {
+	n.updates = slices.DeleteFunc(n.updates, func(u *update) bool { return u.rumour == e })
 }
 
-// tell sends what is new to some members drawn by chance, as far as the byte budget allows.
-func (n *Node) tell(now time.Duration) {
-	n.nextTell = now + n.set.TellEvery
-	if len(n.news) == 0 || n.quiet || !n.joined {
+// sendUpdates runs one gossip round: it sends updates to some members drawn at random, as far as the byte budget allows.
+func (n *Node) sendUpdates(now time.Duration) {
+	n.nextTell = now + n.config.TellEvery
+	if len(n.updates) == 0 || n.inactive || !n.joined {
 		return
 	}
-	for _, m := range n.some(n.set.DatagramsPerTell, func(m *member) bool { return m.state == alive }) {
-		if len(n.news) == 0 {
+	for _, m := range n.randomMembers(n.config.DatagramsPerTell, func(m *member) bool { return m.state == alive }) {
+		if len(n.updates) == 0 {
 			return
 		}
-		if !n.affords(now) {
+		if !n.withinBudget(now) {
 			n.counts.TellsPutOff++
 			return
 		}
-		n.send(now, m, n.loaded(now, m, &Message{Kind: Tell}))
+		n.send(now, m, n.withUpdates(now, m, &Message{Kind: Tell}))
 	}
 }
 
-// loaded fills a message with news, as much as fits into a datagram. Who may not know us is told who we are where an answer
-// will show whether it does.
-func (n *Node) loaded(now time.Duration, to *member, msg *Message) *Message {
-	if msg.Kind != Tell && !to.knowsUs && !slices.ContainsFunc(msg.Claims, func(c Claim) bool { return c.Name == n.set.Name }) {
-		msg.Claims = append(msg.Claims, n.self(now))
+// withUpdates adds to a message as many updates as fit into a datagram and returns the message. A probe or an answer to a
+// member that may not know this instance also carries this instance's claim about itself. Gossip doesn't, because no answer
+// to it would show whether the claim has arrived.
+func (n *Node) withUpdates(now time.Duration, to *member, msg *Message) *Message {
+	if msg.Kind != Tell && !to.knowsUs && !slices.ContainsFunc(msg.Claims, func(c Claim) bool { return c.Name == n.config.Name }) {
+		msg.Claims = append(msg.Claims, n.selfClaim(now))
 	}
-	if len(n.news) == 0 || !n.affords(now) {
+	if len(n.updates) == 0 || !n.withinBudget(now) {
 		return msg
 	}
-	slices.SortStableFunc(n.news, func(a, b *item) int {
-		return cmp.Or(cmp.Compare(a.told, b.told), cmp.Compare(b.at, a.at))
+	slices.SortStableFunc(n.updates, func(a, b *update) int {
+		return cmp.Or(cmp.Compare(a.transmissions, b.transmissions), cmp.Compare(b.queuedAt, a.queuedAt))
 	})
-	room := n.set.Datagram + 28 - msg.Bytes()
-	n.fill(msg, to, &room, room/2, func(i *item) bool { return i.rumour == nil }, now) // members first: rumours hang on them
-	n.fill(msg, to, &room, room, func(i *item) bool { return i.rumour != nil }, now)
-	n.news = slices.DeleteFunc(n.news, (*item).done)
+	// Bytes counts the 28 bytes of the headers of IP and UDP, Datagram doesn't.
+	room := n.config.Datagram + 28 - msg.Bytes()
+	// Claims go first, as a rumour is dropped where its observer is unknown.
+	n.addUpdates(msg, to, &room, room/2, func(u *update) bool { return u.rumour == nil }, now)
+	n.addUpdates(msg, to, &room, room, func(u *update) bool { return u.rumour != nil }, now)
+	n.updates = slices.DeleteFunc(n.updates, (*update).done)
 	return msg
 }
 
-// fill puts news of one kind into a message, as far as its part of the room goes.
-func (n *Node) fill(msg *Message, to *member, room *int, part int, kind func(*item) bool, now time.Duration) {
-	for _, i := range n.news {
-		if !kind(i) {
+// addUpdates adds the updates that match a filter to a message, up to limit bytes, and takes their size off the room.
+func (n *Node) addUpdates(msg *Message, to *member, room *int, limit int, matches func(*update) bool, now time.Duration) {
+	for _, u := range n.updates {
+		if !matches(u) {
 			continue
 		}
 		switch {
-		case i.rumour != nil:
-			if size := i.rumour.bytes(); size <= part {
-				part -= size
+		case u.rumour != nil:
+			if size := u.rumour.maxBytes(); size <= limit {
+				limit -= size
 				*room -= size
-				i.told++
-				msg.Rumours = append(msg.Rumours, Told{i.rumour.Rumour, i.rumour.age(now)})
+				u.transmissions++
+				msg.Rumours = append(msg.Rumours, Told{u.rumour.Rumour, u.rumour.age(now)})
 			}
-		case i.about == to.name && i.claim.Kind != Accused:
-			i.told++ // it knows that best
+		case u.subject == to.name && u.claim.Kind != Accused:
+			u.transmissions++ // the member itself needs no claim of its own
 		default:
-			if size := i.claim.bytes(); size <= part {
-				part -= size
+			if size := u.claim.maxBytes(); size <= limit {
+				limit -= size
 				*room -= size
-				i.told++
-				msg.Claims = append(msg.Claims, i.claim)
+				u.transmissions++
+				msg.Claims = append(msg.Claims, u.claim)
 			}
 		}
-		if part < accusedBytes {
+		if limit < maxAccusationBytes {
 			return
 		}
 	}
 }
 
-// send hands a datagram to the host and charges it to the byte budget. Probes and answers are never put off: they are
-// few, and who is silent is held dead.
+// send passes a datagram to the host and charges it to the byte budget. Probes and answers are sent even if the budget is
+// used up: they are few, and a silent instance would be held dead.
 func (n *Node) send(now time.Duration, m *member, msg *Message) {
 	msg.Clock = now
 	n.charge(now, msg.Bytes())
@@ -129,14 +135,14 @@
 	n.host.Datagram(m.addr, m.key, msg)
 }
 
-// charge takes bytes from the budget, which time fills up.
+// charge takes bytes from the budget, which refills with time.
 func (n *Node) charge(now time.Duration, bytes int) {
-	n.spent = max(0, n.spent-float64(n.set.BytesPerSecond)*(now-n.spentAt).Seconds()) + float64(bytes)
-	n.spentAt = now
+	n.budgetUsed = max(0, n.budgetUsed-float64(n.config.BytesPerSecond)*(now-n.budgetUpdatedAt).Seconds()) + float64(bytes)
+	n.budgetUpdatedAt = now
 }
 
-// affords tells whether the budget has room for a full datagram.
-func (n *Node) affords(now time.Duration) bool {
+// withinBudget reports whether the budget has room for a full datagram.
+func (n *Node) withinBudget(now time.Duration) bool {
 	n.charge(now, 0)
-	return n.spent+float64(n.set.Datagram) <= float64(max(burst*n.set.BytesPerSecond, 2*n.set.Datagram))
+	return n.budgetUsed+float64(n.config.Datagram) <= float64(max(budgetBurstSeconds*n.config.BytesPerSecond, 2*n.config.Datagram))
 }
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -7,67 +7,68 @@
 	"time"
 )
 
-// Bounds on one comparison of tables. What is left over follows in the next one.
+// Bounds on one anti-entropy exchange. What does not fit follows in a later one.
 const (
-	digestRumours = 256
-	answerBytes   = 6 << 10
-	answerLeast   = 1 << 10 // that a comparison brings at least, however short the budget is
+	maxDigestRumours = 256
+	maxAnswerBytes   = 6 << 10
+	minAnswerBytes   = 1 << 10 // granted to an answer however little of the budget is left
 )
 
-// mark stands for the newest claim of a member.
-func (m *member) mark() Mark {
+// fingerprint stands for the newest claim of the member.
+func (m *member) fingerprint() Mark {
 	return Mark(m.hash ^ m.claim.Run ^ uint64(m.claim.Incarnation)*0x9e3779b97f4a7c15>>7 ^ uint64(m.claim.Kind)<<13)
 }
 
-// mark stands for a rumour.
-func (e *entry) mark() Mark {
+// fingerprint stands for the rumour.
+func (e *entry) fingerprint() Mark {
 	return Mark(hash(e.Observer) ^ e.Server*0x9e3779b97f4a7c15>>9 ^ uint64(e.Number)*0xd6e8feb86659fd93>>11)
 }
 
-// nameMark stands for a name.
-func nameMark(hash uint64) Mark { return Mark(hash >> 17) }
+// nameFingerprint stands for a name, given its hash.
+func nameFingerprint(hash uint64) Mark { return Mark(hash >> 17) }
 
-// room is how many bytes the budget leaves for an answer on a stream.
-func (n *Node) room(now time.Duration) int {
+// answerBudget returns how many bytes the budget leaves for an answer on a stream.
+func (n *Node) answerBudget(now time.Duration) int {
 	n.charge(now, 0)
-	return max(answerLeast, min(answerBytes, burst*n.set.BytesPerSecond-int(n.spent)))
+	return max(minAnswerBytes, min(maxAnswerBytes, budgetBurstSeconds*n.config.BytesPerSecond-int(n.budgetUsed)))
 }
 
-// join asks a seed, or somebody that is known already, for what it holds.
+// join starts an exchange with a seed or, half of the time if members are known already, with one of those.
 func (n *Node) join(now time.Duration) {
-	n.joinAt = now + n.joinWait
-	n.joinWait = min(2*n.joinWait, 10*n.set.ProbeEvery)
-	if n.quiet && n.own.Kind == Left {
+	n.joinAt = now + n.joinBackoff
+	n.joinBackoff = min(2*n.joinBackoff, 10*n.config.ProbeEvery)
+	if n.inactive && n.own.Kind == Left {
 		return
 	}
-	at := n.set.Seeds
+	candidates := n.config.Seeds
 	if len(n.members) > 0 && n.rng.IntN(2) == 0 {
-		at = nil
+		candidates = nil
 		for _, m := range n.members {
-			at = append(at, m.addr)
+			candidates = append(candidates, m.addr)
 		}
 	}
-	if len(at) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	n.exchange(now, at[n.rng.IntN(len(at))])
+	n.exchange(now, candidates[n.rng.IntN(len(candidates))])
 }
 
-// syncWithOne compares tables with a member drawn by chance; now and then with a seed, as the members of one half of a
-// partition may all have forgotten the other half.
-func (n *Node) syncWithOne(now time.Duration) {
-	if n.quiet || !n.joined {
+// syncWithRandomMember starts an exchange with a member drawn at random, or now and then with a seed, because the members on
+// one side of a partition may all have forgotten the other side.
+func (n *Node) syncWithRandomMember(now time.Duration) {
+	if n.inactive || !n.joined {
 		return
 	}
-	if len(n.set.Seeds) > 0 && n.rng.IntN(8) == 0 {
-		n.exchange(now, n.set.Seeds[n.rng.IntN(len(n.set.Seeds))])
+	if len(n.config.Seeds) > 0 && n.rng.IntN(8) == 0 {
+		n.exchange(now, n.config.Seeds[n.rng.IntN(len(n.config.Seeds))])
 		return
 	}
-	for _, m := range n.some(1, func(m *member) bool { return m.state == alive }) {
+	for _, m := range n.randomMembers(1, func(m *member) bool { return m.state == alive }) {
 		n.exchange(now, m.addr)
 	}
 }
 
+// exchange starts an anti-entropy exchange by sending the digest.
 func (n *Node) exchange(now time.Duration, with netip.AddrPort) {
 	if with == n.own.Addr {
 		return
@@ -78,108 +79,111 @@
 	n.host.Exchange(with, d)
 }
 
-// digest is what this instance holds, in short.
+// digest summarizes what this instance holds.
 func (n *Node) digest(now time.Duration) *Digest {
-	d := &Digest{Own: n.self(now)}
+	d := &Digest{Own: n.selfClaim(now)}
 	for _, m := range n.members {
-		d.Members = append(d.Members, m.mark())
+		d.Members = append(d.Members, m.fingerprint())
 		if m.state == dead {
-			d.Dead = append(d.Dead, nameMark(m.hash))
+			d.Dead = append(d.Dead, nameFingerprint(m.hash))
 		}
 	}
-	for _, name := range n.table.observers {
-		for _, e := range n.table.byObserver[name] {
-			if len(d.Rumours) < digestRumours {
-				d.Rumours = append(d.Rumours, e.mark())
+	for _, name := range n.rumours.observers {
+		for _, e := range n.rumours.byObserver[name] {
+			if len(d.Rumours) < maxDigestRumours {
+				d.Rumours = append(d.Rumours, e.fingerprint())
 			}
 		}
 	}
 	return d
 }
 
-// Asked takes another's digest and gives what that one lacks. It came from the address seenAt.
-func (n *Node) Asked(now time.Duration, d *Digest, seenAt netip.Addr) *Items {
-	n.mind(now)
-	defer func() { n.plan(now) }()
-	items := &Items{SeenAt: seenAt}
-	if n.quiet && n.own.Kind == Left {
+// ExchangeRequested handles the digest with which another instance has started an exchange, and returns the answer: what the
+// other lacks, and what this instance wants. The digest came from the address observed.
+func (n *Node) Asked(now time.Duration, d *Digest, observed netip.Addr) *Items {
+	n.detectPause(now)
+	defer func() { n.scheduleWake(now) }()
+	items := &Items{SeenAt: observed}
+	if n.inactive && n.own.Kind == Left {
 		return items
 	}
 	own := d.Own
-	if own.Kind == Alive && own.By == own.Name && own.Name != n.set.Name && own.Addr.Addr().IsValid() && !own.Addr.Addr().IsUnspecified() {
-		n.claimed(now, &own, true)
+	if own.Kind == Alive && own.By == own.Name && own.Name != n.config.Name &&
+		own.Addr.Addr().IsValid() && !own.Addr.Addr().IsUnspecified() {
+		n.handleClaim(now, &own, true)
 		if m := n.byName[own.Name]; m != nil && m.run == own.Run && m.key == own.Key {
-			n.hears(now, m, own.Clock)
+			n.heardFrom(now, m, own.Clock)
 		}
-	} else if own.Name == n.set.Name {
-		n.aboutUs(now, &own)
+	} else if own.Name == n.config.Name {
+		n.handleClaimAboutSelf(now, &own)
 	}
-	theirs, missed := marks(d.Members), marks(d.Dead)
-	room := n.room(now)
+	theirs, theirDead := fingerprintSet(d.Members), fingerprintSet(d.Dead)
+	room := n.answerBudget(now)
 	add := func(c Claim) {
-		if size := c.bytes(); size <= room {
+		if size := c.maxBytes(); size <= room {
 			room -= size
 			items.Claims = append(items.Claims, c)
 		}
 	}
-	add(n.self(now))
-	if m := n.byName[own.Name]; m != nil && m.run != own.Run { // it is to know that its name was, or is, another's
+	add(n.selfClaim(now))
+	if m := n.byName[own.Name]; m != nil && m.run != own.Run { // tells the other that its name is or was held by another run
 		add(m.claim)
 		if m.state == alive {
-			items.Alive = append(items.Alive, nameMark(m.hash))
+			items.Alive = append(items.Alive, nameFingerprint(m.hash))
 		}
 	}
-	// From a random place on, so that one who lacks much gets another part from each that it asks.
+	// Starts at a random member, so that an instance that lacks much gets another part from each instance that it asks.
 	for i, start := 0, n.rng.IntN(len(n.members)+1); i < len(n.members); i++ {
 		m := n.members[(start+i)%len(n.members)]
-		has := theirs[m.mark()]
-		delete(theirs, m.mark())
+		has := theirs[m.fingerprint()]
+		delete(theirs, m.fingerprint())
 		switch {
 		case m.name == own.Name:
-		case m.state == alive && missed[nameMark(m.hash)]:
-			items.Alive = append(items.Alive, nameMark(m.hash))
-		case m.state == dead && !missed[nameMark(m.hash)] && has:
-			n.check(m) // they have contact with it, or have not missed it yet: look again
+		case m.state == alive && theirDead[nameFingerprint(m.hash)]:
+			items.Alive = append(items.Alive, nameFingerprint(m.hash))
+		case m.state == dead && !theirDead[nameFingerprint(m.hash)] && has:
+			n.queueCheck(m) // the other is in contact with the member, or hasn't detected its failure yet: probe it
 		}
 		if !has && m.name != own.Name && m.state != dead {
 			add(m.claim)
 		}
 	}
-	for _, mark := range d.Members {
-		if theirs[mark] && mark != n.ownMark() {
-			items.Wants = append(items.Wants, mark)
+	for _, f := range d.Members {
+		if theirs[f] && f != n.ownFingerprint() {
+			items.Wants = append(items.Wants, f)
 		}
 	}
-	n.compare(now, d.Rumours, items, &room)
+	n.compareRumours(now, d.Rumours, items, &room)
 	n.counts.Syncs++
 	n.charge(now, items.Bytes())
 	n.counts.SentBytes += int64(items.Bytes())
 	return items
 }
 
-// ownMark is what others hold of this instance, if they are up to date.
-func (n *Node) ownMark() Mark {
-	m := member{hash: hash(n.set.Name), claim: n.own}
-	return m.mark()
+// ownFingerprint stands for this instance's claim about itself, as others hold it if they are up to date.
+func (n *Node) ownFingerprint() Mark {
+	m := member{hash: hash(n.config.Name), claim: n.own}
+	return m.fingerprint()
 }
 
-func marks(all []Mark) map[Mark]bool {
-	set := make(map[Mark]bool, len(all))
-	for _, m := range all {
-		set[m] = true
+// fingerprintSet returns the fingerprints of a list as a set.
+func fingerprintSet(list []Mark) map[Mark]bool {
+	set := make(map[Mark]bool, len(list))
+	for _, f := range list {
+		set[f] = true
 	}
 	return set
 }
 
-// compare gives the rumours that another lacks, the youngest first and as far as there is room, and asks for those that
-// are lacking here.
-func (n *Node) compare(now time.Duration, theirs []Mark, items *Items, room *int) {
-	has := marks(theirs)
+// compareRumours adds to items the rumours that the other lacks, the youngest first and as far as there is room, and the
+// fingerprints of those that are lacking here.
+func (n *Node) compareRumours(now time.Duration, theirs []Mark, items *Items, room *int) {
+	has := fingerprintSet(theirs)
 	var missing []*entry
-	for _, name := range n.table.observers {
-		for _, e := range n.table.byObserver[name] {
-			if mark := e.mark(); has[mark] {
-				delete(has, mark)
+	for _, name := range n.rumours.observers {
+		for _, e := range n.rumours.byObserver[name] {
+			if f := e.fingerprint(); has[f] {
+				delete(has, f)
 			} else {
 				missing = append(missing, e)
 			}
@@ -187,57 +191,58 @@
 	}
 	slices.SortStableFunc(missing, func(a, b *entry) int { return cmp.Compare(a.age(now), b.age(now)) })
 	for _, e := range missing {
-		if size := e.bytes(); size <= *room && e.age(now) < n.set.RumourLife {
+		if size := e.maxBytes(); size <= *room && e.age(now) < n.config.RumourLife {
 			*room -= size
 			items.Rumours = append(items.Rumours, Told{e.Rumour, e.age(now)})
 		}
 	}
-	for _, mark := range theirs {
-		if has[mark] {
-			items.Lacks = append(items.Lacks, mark)
+	for _, f := range theirs {
+		if has[f] {
+			items.Lacks = append(items.Lacks, f)
 		}
 	}
 }
 
-// Exchanged takes what the asked one sent and gives what it wants in turn; nothing if that is nil.
+// ExchangeAnswered handles the answer to an exchange that this instance started, and returns what the other wants in turn, or
+// nil if there is nothing to send.
 func (n *Node) Exchanged(now time.Duration, items *Items) *Items {
-	n.mind(now)
-	defer func() { n.plan(now) }()
+	n.detectPause(now)
+	defer func() { n.scheduleWake(now) }()
 	n.counts.Syncs++
-	if n.quiet && n.own.Kind == Left {
+	if n.inactive && n.own.Kind == Left {
 		return nil
 	}
-	who := ""
+	responder := "" // name of the instance that has answered
 	if len(items.Claims) > 0 && items.Claims[0].Kind == Alive {
-		who = items.Claims[0].Name // the asked one speaks of itself first
+		responder = items.Claims[0].Name // an answer begins with the sender's claim about itself
 	}
-	n.learn(now, who, items.SeenAt)
-	n.take(now, items)
-	if slices.Contains(items.Alive, nameMark(hash(n.set.Name))) {
-		return nil // another run holds our name there: nothing that we say would count
+	n.learnAddr(now, responder, items.SeenAt)
+	n.applyItems(now, items)
+	if slices.Contains(items.Alive, nameFingerprint(hash(n.config.Name))) {
+		return nil // another run holds this instance's name there, so no claim or rumour of this one would count
 	}
 	if !n.joined {
-		n.joined, n.quiet = true, false
-		n.joinWait = n.set.ProbeEvery
-		n.host.Log("joined", who)
-		n.assert(now)
-		n.nextProbe = now + n.jitter(n.set.ProbeEvery)
+		n.joined, n.inactive = true, false
+		n.joinBackoff = n.config.ProbeEvery
+		n.host.Log("joined", responder)
+		n.bumpIncarnation(now)
+		n.nextProbe = now + n.jitter(n.config.ProbeEvery)
 	}
-	if len(items.Claims) > 8 { // there was much to learn, and there may be more
-		n.nextSync = min(n.nextSync, now+n.set.ProbeEvery)
+	if len(items.Claims) > 8 { // much was missing, and there may be more
+		n.nextSync = min(n.nextSync, now+n.config.ProbeEvery)
 	}
 	give := &Items{}
-	room := n.room(now)
-	wants, lacks := marks(items.Wants), marks(items.Lacks)
+	room := n.answerBudget(now)
+	missingClaims, missingRumours := fingerprintSet(items.Wants), fingerprintSet(items.Lacks)
 	for _, m := range n.members {
-		if wants[m.mark()] && m.claim.bytes() <= room {
-			room -= m.claim.bytes()
+		if missingClaims[m.fingerprint()] && m.claim.maxBytes() <= room {
+			room -= m.claim.maxBytes()
 			give.Claims = append(give.Claims, m.claim)
 		}
 	}
-	for _, name := range n.table.observers {
-		for _, e := range n.table.byObserver[name] {
-			if size := e.bytes(); lacks[e.mark()] && size <= room {
+	for _, name := range n.rumours.observers {
+		for _, e := range n.rumours.byObserver[name] {
+			if size := e.maxBytes(); missingRumours[e.fingerprint()] && size <= room {
 				room -= size
 				give.Rumours = append(give.Rumours, Told{e.Rumour, e.age(now)})
 			}
@@ -251,49 +256,52 @@
 	return give
 }
 
-// Given takes what the one that asked sends at last.
+// ExchangeCompleted handles what the instance that started an exchange sends last.
 func (n *Node) Given(now time.Duration, items *Items) {
-	n.mind(now)
-	n.take(now, items)
-	n.plan(now)
+	n.detectPause(now)
+	n.applyItems(now, items)
+	n.scheduleWake(now)
 }
 
-// ExchangeFailed says that a comparison came to nothing. Membership does not hang on it.
+// ExchangeFailed is called when an exchange that this instance started has failed. It has no effect on membership.
 func (n *Node) ExchangeFailed(now time.Duration, with netip.AddrPort) { n.counts.SyncsFailed++ }
 
-func (n *Node) take(now time.Duration, items *Items) {
+// applyItems handles the claims and rumours that the other side of an exchange has sent.
+func (n *Node) applyItems(now time.Duration, items *Items) {
 	for i := range items.Claims {
-		n.claimed(now, &items.Claims[i], true)
+		n.handleClaim(now, &items.Claims[i], true)
 	}
 	for i := range items.Rumours {
-		n.rumour(now, &items.Rumours[i])
+		n.handleRumour(now, &items.Rumours[i])
 	}
-	contact := marks(items.Alive)
+	reachable := fingerprintSet(items.Alive)
 	for _, m := range n.members {
-		if m.state == dead && contact[nameMark(m.hash)] {
-			n.check(m) // somebody has contact with it: look again
+		if m.state == dead && reachable[nameFingerprint(m.hash)] {
+			n.queueCheck(m) // another instance is in contact with the member: probe it
 		}
 	}
 }
 
-// learn takes the address at which another sees us, where ours is not known. One may lie; most do not.
-func (n *Node) learn(now time.Duration, who string, seen netip.Addr) {
-	if !n.set.Learn || who == "" || !seen.IsValid() {
+// learnAddr records the address at which another instance sees this one, if this one's address is to be learned. The address
+// reported by most instances is used, as single ones may lie.
+func (n *Node) learnAddr(now time.Duration, reporter string, addr netip.Addr) {
+	if !n.config.Learn || reporter == "" || !addr.IsValid() {
 		return
 	}
-	seen = seen.Unmap()
-	if n.seen[seen] == nil {
-		if len(n.seen) >= 8 {
+	addr = addr.Unmap()
+	if n.observedAddrs[addr] == nil {
+		if len(n.observedAddrs) >= 8 {
 			return
 		}
-		n.seen[seen] = map[string]bool{}
+		n.observedAddrs[addr] = map[string]bool{}
 	}
-	if len(n.seen[seen]) < n.set.Members {
-		n.seen[seen][who] = true
+	if len(n.observedAddrs[addr]) < n.config.Members {
+		n.observedAddrs[addr][reporter] = true
 	}
 	best := n.own.Addr.Addr()
-	for a, by := range n.seen {
-		if len(by) > len(n.seen[best]) || len(by) == len(n.seen[best]) && best != n.own.Addr.Addr() && a.Less(best) {
+	for a, reporters := range n.observedAddrs {
+		if len(reporters) > len(n.observedAddrs[best]) ||
+			len(reporters) == len(n.observedAddrs[best]) && best != n.own.Addr.Addr() && a.Less(best) {
 			best = a
 		}
 	}
@@ -301,7 +309,7 @@
 		n.own.Addr = netip.AddrPortFrom(best, n.own.Addr.Port())
 		n.host.Log("address_learned", n.own.Addr.String())
 		if n.joined {
-			n.assert(now)
+			n.bumpIncarnation(now)
 		}
 	}
 }
