--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -12,8 +12,8 @@
 	"gorsewell/internal/invariant"
 )
 
-// sendEnds names the counts of how sends ended.
-var sendEnds = [...]string{
+// sendEndNames names the counts of how sends ended.
+var sendEndNames = [...]string{
 	choice.Acked:        "send_acked",
 	choice.ServerError:  "send_error",
 	choice.ServerFull:   "send_full",
@@ -31,7 +31,7 @@
 	Acked, BusyReplied, Errored, Left atomic.Int64 // how they ended
 	Held                              atomic.Int64 // ops that have not ended
 	Sent                              atomic.Int64 // sends written whole to a server
-	SendEnds                          [len(sendEnds)]atomic.Int64
+	SendEnds                          [len(sendEndNames)]atomic.Int64
 	Probes, ProbesAcked               atomic.Int64
 	ServerConns, ServerReused         atomic.Int64 // connections opened, taken again
 	ServerBroken, ServerRefused       atomic.Int64 // that ended under a send, or while they were idle; that never came up
@@ -50,9 +50,9 @@
 	for i := range v.NumField() {
 		switch c := v.Field(i).Addr().Interface().(type) {
 		case *atomic.Int64:
-			all = append(all, slog.Int64(snake(v.Type().Field(i).Name), c.Load()))
-		case *[len(sendEnds)]atomic.Int64:
-			for end, name := range sendEnds {
+			all = append(all, slog.Int64(snakeCase(v.Type().Field(i).Name), c.Load()))
+		case *[len(sendEndNames)]atomic.Int64:
+			for end, name := range sendEndNames {
 				all = append(all, slog.Int64(name, c[end].Load()))
 			}
 		}
@@ -72,8 +72,8 @@
 	return b.String()
 }
 
-// snake is a field's name as the log has it.
-func snake(name string) string {
+// snakeCase is a field's name as the log has it.
+func snakeCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
 		if unicode.IsUpper(r) && i > 0 {
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -109,7 +109,7 @@
 	}
 }
 
-func (r *reader) num(path string) float64 {
+func (r *reader) number(path string) float64 {
 	v := r.Values[path]
 	if v == "" {
 		return 0
@@ -122,16 +122,16 @@
 	return f
 }
 
-// span reads a time in nanoseconds; none is negative.
-func (r *reader) span(path string) time.Duration {
-	n, err := span(r.Values[path])
+// duration reads a time in nanoseconds; none is negative.
+func (r *reader) duration(path string) time.Duration {
+	n, err := parseDuration(r.Values[path])
 	if err != nil || n < 0 {
 		r.fail(path)
 	}
 	return max(0, n)
 }
 
-func span(v string) (time.Duration, error) {
+func parseDuration(v string) (time.Duration, error) {
 	if v == "" {
 		return 0, nil
 	}
@@ -146,10 +146,10 @@
 	return time.Duration(f), nil
 }
 
-func (r *reader) flag(path string) bool { return r.word(path, "true", "false") == "true" }
+func (r *reader) boolean(path string) bool { return r.enum(path, "true", "false") == "true" }
 
-// word reads a value that has to be one of a few, or missing.
-func (r *reader) word(path string, known ...string) string {
+// enum reads a value that has to be one of a few, or missing.
+func (r *reader) enum(path string, known ...string) string {
 	v := r.Values[path]
 	if v != "" && !slices.Contains(known, v) && r.err == nil {
 		r.err = fmt.Errorf("setting %s=%q has to be one of %s", path, v, strings.Join(known, ", "))
@@ -170,24 +170,24 @@
 	t := &Told{
 		Zones:          r.list("zones"),
 		Kinds:          r.list("models"),
-		ConnectTimeout: r.span("limits.connect_timeout"),
-		IdleTime:       r.span("limits.keepalive"),
-		DrainGrace:     r.span("rules.drain_grace"),
+		ConnectTimeout: r.duration("limits.connect_timeout"),
+		IdleTime:       r.duration("limits.keepalive"),
+		DrainGrace:     r.duration("rules.drain_grace"),
 		Deployment: choice.Deployment{
-			Gateways:        int(r.num("balancers")),
-			Round:           r.span("round"),
-			ListAsked:       r.word("registry_mode", "pushed", "on_request") == "on_request",
-			AskWithin:       r.span("rules.must_ask_in"),
-			TellsPosition:   r.flag("family_info.tells_position"),
-			MarksCarried:    r.word("family_info.write_marks", "brought", "kept") == "brought",
-			RetriesUnmarked: v["clients.marks_retry"] != "" && !r.flag("clients.marks_retry"),
-			Probes:          r.flag("limits.probing"),
-			Cancels:         r.flag("limits.may_cancel"),
-			MaxSends:        int(r.num("limits.max_attempts")),
-			ColdFrom:        r.num("rules.cold_from"),
-			ColdTime:        r.span("rules.cold"),
-			OverloadFactor:  r.num("rules.overload_factor"),
-			OverloadTime:    r.span("rules.fall"),
+			Gateways:        int(r.number("balancers")),
+			Round:           r.duration("round"),
+			ListAsked:       r.enum("registry_mode", "pushed", "on_request") == "on_request",
+			AskWithin:       r.duration("rules.must_ask_in"),
+			TellsPosition:   r.boolean("family_info.tells_position"),
+			MarksCarried:    r.enum("family_info.write_marks", "brought", "kept") == "brought",
+			RetriesUnmarked: v["clients.marks_retry"] != "" && !r.boolean("clients.marks_retry"),
+			Probes:          r.boolean("limits.probing"),
+			Cancels:         r.boolean("limits.may_cancel"),
+			MaxSends:        int(r.number("limits.max_attempts")),
+			ColdFrom:        r.number("rules.cold_from"),
+			ColdTime:        r.duration("rules.cold"),
+			OverloadFactor:  r.number("rules.overload_factor"),
+			OverloadTime:    r.duration("rules.fall"),
 		},
 	}
 	if zero, err := strconv.ParseUint(v["family_info.zero"], 10, 64); err == nil {
@@ -202,31 +202,31 @@
 		t.ReportsPosition = t.ReportsPosition || name == "x0"
 		t.ReportsRole = t.ReportsRole || name == "x1"
 	}
-	if r.flag("limits.retry_after") {
-		t.MaxComeBack = r.span("limits.max_retry_after")
+	if r.boolean("limits.retry_after") {
+		t.MaxComeBack = r.duration("limits.max_retry_after")
 	}
-	switch r.word("family_info.checks", "silent", "bounce", "await") {
+	switch r.enum("family_info.checks", "silent", "bounce", "await") {
 	case "bounce":
 		t.Checks = choice.Refuses
 	case "await":
 		t.Checks = choice.Waits
 	}
-	r.opTypes(t)
-	r.unstated(t)
+	r.readOpTypes(t)
+	r.applyDefaults(t)
 	return t, r.err
 }
 
 const (
-	unbound   = time.Hour // stands for a time that the settings do not state: it binds nobody
-	mostTypes = 256       // op types, as one byte tells them apart
-	mostSends = 255       // of an op, for the same reason
+	unlimited     = time.Hour // stands for a time that the settings do not state: it binds nobody
+	maxOpTypes    = 256       // op types, as one byte tells them apart
+	maxSendsPerOp = 255       // of an op, for the same reason
 )
 
-// unstated puts in what the settings do not say: a limit that is missing, or zero, does not bind, and an op type without a
+// applyDefaults puts in what the settings do not say: a limit that is missing, or zero, does not bind, and an op type without a
 // latency target is of use until its op timeout.
-func (r *reader) unstated(t *Told) {
-	if t.MaxSends <= 0 || t.MaxSends > mostSends {
-		t.MaxSends = mostSends
+func (r *reader) applyDefaults(t *Told) {
+	if t.MaxSends <= 0 || t.MaxSends > maxSendsPerOp {
+		t.MaxSends = maxSendsPerOp
 	}
 	if t.OverloadFactor <= 0 || t.OverloadTime <= 0 {
 		t.ColdTime = 0 // nothing says how much a cold server bears: none counts as cold
@@ -236,7 +236,7 @@
 		o := &t.OpTypes[i]
 		longest = max(longest, o.Timeout, o.Target)
 		if o.Timeout == 0 {
-			o.Timeout = unbound
+			o.Timeout = unlimited
 		}
 		if o.Target == 0 {
 			o.Target = o.Timeout
@@ -259,19 +259,19 @@
 	}
 }
 
-func (r *reader) opTypes(d *Told) {
+func (r *reader) readOpTypes(d *Told) {
 	needs, bounds := r.list("family_info.needs_by_class"), r.list("family_info.lag_allowed")
-	if n := r.num("classes.count"); n > mostTypes && r.err == nil {
-		r.err = fmt.Errorf("the settings name %.0f op types: %d at most can be told apart", n, mostTypes)
+	if n := r.number("classes.count"); n > maxOpTypes && r.err == nil {
+		r.err = fmt.Errorf("the settings name %.0f op types: %d at most can be told apart", n, maxOpTypes)
 	}
-	for i := range int(max(0, min(r.num("classes.count"), mostTypes))) {
+	for i := range int(max(0, min(r.number("classes.count"), maxOpTypes))) {
 		at := func(name string) string { return fmt.Sprintf("classes.%d.%s", i, name) }
 		t := choice.OpType{
-			Window:    r.span(at("window")),
-			Target:    r.span(at("target")),
-			Timeout:   r.span(at("give_up")),
-			Value:     r.num(at("worth")),
-			LateValue: r.num(at("late_value")),
+			Window:    r.duration(at("window")),
+			Target:    r.duration(at("target")),
+			Timeout:   r.duration(at("give_up")),
+			Value:     r.number(at("worth")),
+			LateValue: r.number(at("late_value")),
 		}
 		switch r.Values[at("effect")] {
 		case "retryable":
@@ -290,7 +290,7 @@
 				"lag_bound": choice.Bounded, "eventual": choice.Any}[needs[i]]
 		}
 		if i < len(bounds) {
-			bound, err := span(bounds[i])
+			bound, err := parseDuration(bounds[i])
 			if err != nil || bound < 0 {
 				r.fail("family_info.lag_allowed")
 			}
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -9,7 +9,7 @@
 	"gorsewell/choice"
 )
 
-const asText = `balancers=2
+const textSettings = `balancers=2
 classes.count=2
 classes.0.dedup_scope=all
 classes.0.effect=retryable
@@ -45,7 +45,7 @@
 unheard.of=x
 `
 
-const asJSON = `{"balancers":2,"classes":[
+const jsonSettings = `{"balancers":2,"classes":[
 {"dedup_scope":"all","effect":"retryable","give_up":1.2e9,"name":"lookup","target":500000000.0,"worth":2.0,"window":null},
 {"dedup_scope":"cell","effect":"dedup","late_value":0.3,"name":"save","window":2000000000}],
 "family_info":{"checks":"bounce","lag_allowed":[200000000,0],"needs_by_class":["lag_bound","mutate"],
@@ -56,7 +56,7 @@
 "rules":{"cold_from":0.17,"must_ask_in":10000000000},"zones":["a","b"],"tenants":[],"unheard":{"of":[{"x":1},2]}}`
 
 func TestTextAndJSONTellTheSame(t *testing.T) {
-	v, err := FromText([]byte(asText))
+	v, err := FromText([]byte(textSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v, err = FromJSON([]byte(asJSON)); err != nil {
+	if v, err = FromJSON([]byte(jsonSettings)); err != nil {
 		t.Fatal(err)
 	}
 	nested, err := v.Read()
@@ -95,7 +95,7 @@
 
 func TestMissingValuesReadAsZeroOrBindNobody(t *testing.T) {
 	told, err := Values{}.Read()
-	if err != nil || !reflect.DeepEqual(told, &Told{Deployment: choice.Deployment{MaxSends: mostSends}}) {
+	if err != nil || !reflect.DeepEqual(told, &Told{Deployment: choice.Deployment{MaxSends: maxSendsPerOp}}) {
 		t.Errorf("%+v, %v", told, err)
 	}
 	told, err = Values{"classes.count": "3", "classes.0.name": "Any Name, really", "classes.0.give_up": "3000000000", "classes.1.name": "any name, really",
@@ -103,12 +103,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, want := range [][2]time.Duration{{3 * time.Second, 3 * time.Second}, {200 * time.Millisecond, unbound}, {unbound, unbound}} {
+	for i, want := range [][2]time.Duration{{3 * time.Second, 3 * time.Second}, {200 * time.Millisecond, unlimited}, {unlimited, unlimited}} {
 		if o := told.OpTypes[i]; o.Target != want[0] || o.Timeout != want[1] {
 			t.Errorf("op type %d: %v and %v, want %v", i, o.Target, o.Timeout, want)
 		}
 	}
-	if told.MaxSends != mostSends || told.ColdTime != 0 || told.ConnectTimeout != 3*time.Second {
+	if told.MaxSends != maxSendsPerOp || told.ColdTime != 0 || told.ConnectTimeout != 3*time.Second {
 		t.Errorf("%+v", told)
 	}
 }
@@ -141,26 +141,26 @@
 	}
 }
 
-// mute is a host that does nothing.
-type mute struct{}
+// noopHost is a host that does nothing.
+type noopHost struct{}
 
-func (mute) Send(uint32, uint32, time.Duration) {}
-func (mute) Withdraw(uint32)                    {}
-func (mute) BusyReply(uint32, time.Duration)    {}
-func (mute) Error(uint32)                       {}
-func (mute) Cancel(uint32, uint8)               {}
-func (mute) Probe(uint32)                       {}
-func (mute) Timer(uint32, time.Duration)        {}
-func (mute) AskList()                           {}
-func (mute) WatchList()                         {}
-func (mute) CloseIdle(uint32)                   {}
-func (mute) Forget(uint32)                      {}
-func (mute) Trouble(uint32, choice.Trouble)     {}
-func (mute) Log(string)                         {}
+func (noopHost) Send(uint32, uint32, time.Duration) {}
+func (noopHost) Withdraw(uint32)                    {}
+func (noopHost) BusyReply(uint32, time.Duration)    {}
+func (noopHost) Error(uint32)                       {}
+func (noopHost) Cancel(uint32, uint8)               {}
+func (noopHost) Probe(uint32)                       {}
+func (noopHost) Timer(uint32, time.Duration)        {}
+func (noopHost) AskList()                           {}
+func (noopHost) WatchList()                         {}
+func (noopHost) CloseIdle(uint32)                   {}
+func (noopHost) Forget(uint32)                      {}
+func (noopHost) Trouble(uint32, choice.Trouble)     {}
+func (noopHost) Log(string)                         {}
 
 // No settings, whatever they say, make the module panic.
 func FuzzSettings(f *testing.F) {
-	f.Add([]byte(asText))
+	f.Add([]byte(textSettings))
 	f.Add([]byte("classes.count=1\nclasses.0.name=a\nclasses.0.target=1\nclasses.0.worth=-1\nrules.cold=1\nrules.fall=1\nrules.overload_factor=1e308"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		v, err := FromText(text)
@@ -171,7 +171,7 @@
 		if err != nil {
 			return
 		}
-		g := choice.New(mute{}, &told.Deployment)
+		g := choice.New(noopHost{}, &told.Deployment)
 		g.List(0, choice.ListCached, []choice.Listed{{ID: 1, State: choice.Ready, Primary: true}, {ID: 2, State: choice.Ready}})
 		for i := range told.OpTypes {
 			now := time.Duration(i+1) * time.Millisecond
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -27,7 +27,7 @@
 	"gorsewell/internal/exchange"
 )
 
-const maxList = 16 << 20 // bytes of a list
+const maxListBytes = 16 << 20 // bytes of a list
 
 // ToldWithin is how long after a change a gateway counts as told of it, whatever failed before, if discovery had it and could be
 // reached. What is below is cut from it, so that it holds for any time to ask in that the settings may give: a watch that falls
@@ -41,21 +41,21 @@
 	if told.ListAsked {
 		return ToldWithin * 4 / 5
 	}
-	return min(ToldWithin, max(2*told.DrainGrace, 4*leastBackoff))
+	return min(ToldWithin, max(2*told.DrainGrace, 4*minBackoff))
 }
 
-// leastBackoff keeps gateways from asking a discovery that is down without a pause.
-const leastBackoff = 50 * time.Millisecond
+// minBackoff keeps gateways from asking a discovery that is down without a pause.
+const minBackoff = 50 * time.Millisecond
 
 // Discovery handles calls one after another, and lets each wait for up to two seconds. A call that is given up sooner is handled all
 // the same: where gateways that started together do so and ask again, discovery works for nobody, and none of them is told anything
 // for good. So a call that is to be queued is given longer than that.
 const (
-	openingWait = 10 * time.Millisecond // of the call that opens a watch: the next one goes on with it and is not queued anew
-	longestWait = ToldWithin * 2 / 5    // of a watch that goes on
-	waitSpread  = ToldWithin / 10       // by which waits are shorter, by chance
-	lateBy      = ToldWithin / 6        // how long after its wait a watch's answer may come
-	callTimeout = ToldWithin * 2 / 5    // of any other call, connecting included
+	openingWatchWait = 10 * time.Millisecond // of the call that opens a watch: the next one goes on with it and is not queued anew
+	maxWatchWait     = ToldWithin * 2 / 5    // of a watch that goes on
+	watchWaitJitter  = ToldWithin / 10       // by which waits are shorter, by chance
+	watchAnswerGrace = ToldWithin / 6        // how long after its wait a watch's answer may come
+	callTimeout      = ToldWithin * 2 / 5    // of any other call, connecting included
 )
 
 // Page is a list of servers as discovery writes it.
@@ -92,8 +92,8 @@
 	return &Names{clock: clock, zones: told.Zones, kinds: told.Kinds, servers: map[uint32]string{}}
 }
 
-// server is the number in an id such as s-5be2a07c, the same at every gateway; other ids are hashed.
-func (n *Names) server(id string) uint32 {
+// serverNumber is the number in an id such as s-5be2a07c, the same at every gateway; other ids are hashed.
+func (n *Names) serverNumber(id string) uint32 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	number, err := strconv.ParseUint(strings.TrimPrefix(id, "s-"), 16, 32)
@@ -122,7 +122,7 @@
 	delete(n.servers, server)
 }
 
-func place(names *[]string, name string) uint8 {
+func internName(names *[]string, name string) uint8 {
 	name = deployment.Plain(name)
 	i := slices.Index(*names, name)
 	if i < 0 {
@@ -141,8 +141,8 @@
 		if e.ID == "" {
 			return nil, nil, errors.New("a server has no id")
 		}
-		l := choice.Listed{ID: n.server(e.ID), Group: e.Cell, Zone: place(&n.zones, e.Zone),
-			Kind: place(&n.kinds, e.Kind), Primary: e.Role == "primary", Started: choice.LongPast, Weight: e.Weight}
+		l := choice.Listed{ID: n.serverNumber(e.ID), Group: e.Cell, Zone: internName(&n.zones, e.Zone),
+			Kind: internName(&n.kinds, e.Kind), Primary: e.Role == "primary", Started: choice.LongPast, Weight: e.Weight}
 		switch e.State {
 		case "in_service":
 			l.State = choice.Ready
@@ -178,28 +178,28 @@
 
 // Client asks discovery. One goroutine, Run, makes all calls one after another.
 type Client struct {
-	moves   chan string // the newest address to go on at, not gone to yet
-	base    string
-	names   *Names
-	taker   Taker
-	counts  *counters.Set
-	http    http.Client
-	within  time.Duration // in which a call that does not wait is answered
-	dial    func(ctx context.Context, network, addr string) (net.Conn, error)
-	chance  *rand.Rand
-	held    bool // the version is one that this discovery has counted
-	opened  bool // a watch is open: the last call was one and has just been answered
-	version uint64
-	ask     chan struct{}
-	watch   chan struct{}
-	failing bool
+	moves        chan string // the newest address to go on at, not gone to yet
+	listURL      string
+	names        *Names
+	handler      Taker
+	counts       *counters.Set
+	http         http.Client
+	timeout      time.Duration // in which a call that does not wait is answered
+	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
+	rng          *rand.Rand
+	versionValid bool // the version is one that this discovery has counted
+	watchOpen    bool // a watch is open: the last call was one and has just been answered
+	version      uint64
+	ask          chan struct{}
+	watch        chan struct{}
+	failing      bool
 }
 
 // New makes a client of the discovery at addr that holds the list of the version.
 func New(addr string, version uint64, names *Names, told *deployment.Told, taker Taker, counts *counters.Set) *Client {
-	c := &Client{names: names, taker: taker, counts: counts, within: callTimeout, dial: (&net.Dialer{}).DialContext,
-		chance: rand.New(rand.NewPCG(told.Seed, uint64(version))), held: true, version: version, moves: make(chan string, 1), ask: make(chan struct{}, 1), watch: make(chan struct{}, 1)}
-	c.settle(addr)
+	c := &Client{names: names, handler: taker, counts: counts, timeout: callTimeout, dial: (&net.Dialer{}).DialContext,
+		rng: rand.New(rand.NewPCG(told.Seed, uint64(version))), versionValid: true, version: version, moves: make(chan string, 1), ask: make(chan struct{}, 1), watch: make(chan struct{}, 1)}
+	c.setAddress(addr)
 	c.http.Transport = &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2, DialContext: c.connect}
 	return c
 }
@@ -207,21 +207,21 @@
 // connect dials discovery. net/http does not end a dial with the call that wanted it: where nobody answers, two that were left
 // behind would take up all connections that there may be, and no later call be made for as long as the system goes on trying.
 func (c *Client) connect(ctx context.Context, network, addr string) (net.Conn, error) {
-	limited, cancel := context.WithTimeout(ctx, c.within)
+	limited, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	return c.dial(limited, network, addr)
 }
 
 // Ask asks for the whole list, without waiting for it.
-func (c *Client) Ask() { poke(c.ask) }
+func (c *Client) Ask() { notify(c.ask) }
 
 // Watch asks for changes from now on, without waiting for them. It ends with a failed call.
-func (c *Client) Watch() { poke(c.watch) }
+func (c *Client) Watch() { notify(c.watch) }
 
 // Forget drops what is kept of a server.
 func (c *Client) Forget(server uint32) { c.names.Forget(server) }
 
-func poke(ch chan struct{}) {
+func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -237,7 +237,7 @@
 	c.moves <- addr
 }
 
-func (c *Client) settle(addr string) { c.base = "http://" + addr + "/v1/servers" }
+func (c *Client) setAddress(addr string) { c.listURL = "http://" + addr + "/v1/servers" }
 
 // Run makes the calls that were asked for until the context ends. An asking waits for the call under way, a move
 // ends it.
@@ -255,13 +255,13 @@
 			}
 			return nil
 		})
-		c.stay(here)
+		c.makeCalls(here)
 		leave()
 		group.Wait()
 		if next != "" {
 			c.http.CloseIdleConnections()
-			c.settle(next)
-			c.held = false // versions may count otherwise there
+			c.setAddress(next)
+			c.versionValid = false // versions may count otherwise there
 			slog.Info("discovery_moved", "discovery", next)
 			c.Watch()
 		}
@@ -269,48 +269,48 @@
 	return nil
 }
 
-// stay makes the calls at one address.
-func (c *Client) stay(here context.Context) {
+// makeCalls makes the calls at one address.
+func (c *Client) makeCalls(here context.Context) {
 	watching := false
 	for here.Err() == nil {
 		if watching && len(c.ask) == 0 {
-			watching = c.changes(here)
+			watching = c.fetchChanges(here)
 			continue
 		}
 		select {
 		case <-here.Done():
 		case <-c.ask:
-			c.opened = false
-			c.call(here, "", c.within)
+			c.watchOpen = false
+			c.fetch(here, "", c.timeout)
 		case <-c.watch:
-			c.opened = false
-			watching = c.changes(here)
+			c.watchOpen = false
+			watching = c.fetchChanges(here)
 		}
 	}
 }
 
-// drawn is how long a watch waits: gateways that start together, or hear of one change, would else ask in step for good.
-func (c *Client) drawn() time.Duration {
-	return longestWait - time.Duration(c.chance.Int64N(int64(waitSpread)+1))
+// watchWait is how long a watch waits: gateways that start together, or hear of one change, would else ask in step for good.
+func (c *Client) watchWait() time.Duration {
+	return maxWatchWait - time.Duration(c.rng.Int64N(int64(watchWaitJitter)+1))
 }
 
-// changes asks for what is newer than the list held, and waits for it; where none is, for the whole list. The first such call
+// fetchChanges asks for what is newer than the list held, and waits for it; where none is, for the whole list. The first such call
 // hardly waits: each asking has its answer, and what follows is the same watch.
-func (c *Client) changes(ctx context.Context) bool {
-	if !c.held {
-		return c.call(ctx, "", c.within)
+func (c *Client) fetchChanges(ctx context.Context) bool {
+	if !c.versionValid {
+		return c.fetch(ctx, "", c.timeout)
 	}
-	wait, limit := openingWait, c.within
-	if c.opened {
-		wait = c.drawn()
-		limit = wait + lateBy
+	wait, limit := openingWatchWait, c.timeout
+	if c.watchOpen {
+		wait = c.watchWait()
+		limit = wait + watchAnswerGrace
 	}
-	c.opened = c.call(ctx, fmt.Sprintf("?since=%d&timeout_ms=%d", c.version, wait.Milliseconds()), limit)
-	return c.opened
+	c.watchOpen = c.fetch(ctx, fmt.Sprintf("?since=%d&timeout_ms=%d", c.version, wait.Milliseconds()), limit)
+	return c.watchOpen
 }
 
-// call makes one call and hands over what it told; false if it failed.
-func (c *Client) call(ctx context.Context, query string, within time.Duration) bool {
+// fetch makes one fetch and hands over what it told; false if it failed.
+func (c *Client) fetch(ctx context.Context, query string, within time.Duration) bool {
 	limited, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	p, err := c.get(limited, query)
@@ -328,7 +328,7 @@
 			slog.Warn("discovery_failed", "error", err)
 		}
 		c.failing = true
-		c.taker.Listed(choice.ListFailed, nil, nil)
+		c.handler.Listed(choice.ListFailed, nil, nil)
 		return false
 	}
 	if c.failing {
@@ -336,18 +336,18 @@
 	}
 	c.failing = false
 	c.counts.Lists.Add(1)
-	c.held = p.Full || p.Version >= c.version // else it counts anew, and what it calls changes may not be all
+	c.versionValid = p.Full || p.Version >= c.version // else it counts anew, and what it calls changes may not be all
 	c.version = p.Version
 	scope := choice.ListChanges
 	if p.Full {
 		scope = choice.ListFull
 	}
-	c.taker.Listed(scope, listed, addrs)
+	c.handler.Listed(scope, listed, addrs)
 	return true
 }
 
 func (c *Client) get(ctx context.Context, query string) (*Page, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+query, nil)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.listURL+query, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -359,7 +359,7 @@
 	if answer.StatusCode != http.StatusOK {
 		return nil, errors.New(answer.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxList))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxListBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,25 +17,25 @@
 	"gorsewell/internal/exchange"
 )
 
-const page = `{"version":41,"full":true,"servers":[
+const testList = `{"version":41,"full":true,"servers":[
 {"id":"s-5be2a07c","addr":"10.1.0.18:5432","zone":"b","kind":"m 2","cell":3,"state":"in_service","weight":1.5,"started_ms":0},
 {"id":"other","addr":"10.1.0.19:5432","zone":"c","kind":"m3","cell":3,"state":"terminating","role":"primary","started_ms":1767225600123},
 {"id":"s-1","state":"terminated"}]}`
 
-// told is one list as it was handed over.
-type told struct {
+// handledList is one list as it was handed over.
+type handledList struct {
 	scope  choice.ListScope
 	listed []choice.Listed
 	addrs  map[uint32]string
 }
 
-type taker chan told
+type listQueue chan handledList
 
-func (c taker) Listed(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
-	c <- told{scope, listed, addrs}
+func (c listQueue) Listed(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
+	c <- handledList{scope, listed, addrs}
 }
 
-func (c taker) next(t *testing.T) told {
+func (c listQueue) next(t *testing.T) handledList {
 	t.Helper()
 	select {
 	case l := <-c:
@@ -46,11 +46,11 @@
 	}
 }
 
-// client runs against the handler until the test ends.
-func client(t *testing.T, within time.Duration, h http.HandlerFunc) (*Client, taker) {
+// startClient runs against the handler until the test ends.
+func startClient(t *testing.T, within time.Duration, h http.HandlerFunc) (*Client, listQueue) {
 	t.Helper()
 	s := httptest.NewServer(h)
-	lists := make(taker, 64)
+	lists := make(listQueue, 64)
 	settings := &deployment.Told{Zones: []string{"a", "b"}, Kinds: []string{"m_2"}}
 	settings.AskWithin = within
 	names := NewNames(exchange.StartClock(), settings)
@@ -70,11 +70,11 @@
 }
 
 func TestAListInTheModulesTerms(t *testing.T) {
-	c, lists := client(t, time.Second, func(w http.ResponseWriter, r *http.Request) {
+	c, lists := startClient(t, time.Second, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			t.Errorf("asked %q", r.URL)
 		}
-		w.Write([]byte(page))
+		w.Write([]byte(testList))
 	})
 	c.Ask()
 	l := lists.next(t)
@@ -97,7 +97,7 @@
 
 func TestAWatchGoesOnFromTheLastVersion(t *testing.T) {
 	asked := make(chan string, 8)
-	c, lists := client(t, 2*time.Second, func(w http.ResponseWriter, r *http.Request) {
+	c, lists := startClient(t, 2*time.Second, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case asked <- r.URL.RawQuery:
 		default:
@@ -122,10 +122,10 @@
 // A discovery that has started anew may count from lower: what it calls changes since a version says nothing then.
 func TestAVersionThatGoesBackHasTheWholeListAskedFor(t *testing.T) {
 	asked := make(chan string, 8)
-	c, lists := client(t, time.Second, func(w http.ResponseWriter, r *http.Request) {
+	c, lists := startClient(t, time.Second, func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 		if r.URL.RawQuery == "" {
-			w.Write([]byte(strings.Replace(page, "41", "7", 1)))
+			w.Write([]byte(strings.Replace(testList, "41", "7", 1)))
 		} else if strings.HasPrefix(r.URL.RawQuery, "since=40") {
 			w.Write([]byte(`{"version":6,"full":false,"servers":[]}`))
 		} else {
@@ -144,10 +144,10 @@
 	}
 }
 
-// calls notes the calls that a client makes and answers none.
-type calls chan *http.Request
+// recordingTransport notes the recordingTransport that a client makes and answers none.
+type recordingTransport chan *http.Request
 
-func (c calls) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c recordingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	c <- r
 	return nil, errors.New("silent")
 }
@@ -160,16 +160,16 @@
 	for seed := range uint64(8) {
 		settings := &deployment.Told{}
 		settings.AskWithin, settings.Seed = ToldWithin, seed
-		c := New("127.0.0.1:1", 40, NewNames(exchange.StartClock(), settings), settings, make(taker, 8), &counters.Set{})
-		made := make(calls, 1)
+		c := New("127.0.0.1:1", 40, NewNames(exchange.StartClock(), settings), settings, make(listQueue, 8), &counters.Set{})
+		made := make(recordingTransport, 1)
 		c.http.Transport = made
-		c.opened = true
-		c.changes(t.Context())
+		c.watchOpen = true
+		c.fetchChanges(t.Context())
 		r := <-made
 		ms, _ := strconv.ParseInt(r.URL.Query().Get("timeout_ms"), 10, 64)
 		waits[ms] = true
 		ends, _ := r.Context().Deadline()
-		if gone := time.Until(ends); gone+callTimeout >= ToldWithin || ms < 1500 || gone < time.Duration(ms)*time.Millisecond+lateBy*3/4 {
+		if gone := time.Until(ends); gone+callTimeout >= ToldWithin || ms < 1500 || gone < time.Duration(ms)*time.Millisecond+watchAnswerGrace*3/4 {
 			t.Errorf("a watch of %d ms is given up after %v", ms, gone)
 		}
 	}
@@ -179,9 +179,9 @@
 }
 
 func TestAnAskingDuringAWatch(t *testing.T) {
-	c, lists := client(t, 4*time.Second, func(w http.ResponseWriter, r *http.Request) {
+	c, lists := startClient(t, 4*time.Second, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery == "" {
-			w.Write([]byte(page))
+			w.Write([]byte(testList))
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -209,14 +209,14 @@
 		if len(asked) == 1 {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		} else if r.URL.RawQuery == "" {
-			w.Write([]byte(strings.Replace(page, "41", "3", 1)))
+			w.Write([]byte(strings.Replace(testList, "41", "3", 1)))
 		} else {
 			<-r.Context().Done()
 		}
 	}))
 	t.Cleanup(other.Close) // after the client's end
 	watched, dropped := make(chan struct{}), make(chan struct{})
-	c, lists := client(t, time.Minute, func(w http.ResponseWriter, r *http.Request) {
+	c, lists := startClient(t, time.Minute, func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.RawQuery, "timeout_ms=10") {
 			w.Write([]byte(`{"version":99,"full":false,"servers":[]}`))
 			return
@@ -250,25 +250,25 @@
 		"refuses":     func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
 		"hangs":       func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		"resets":      func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"half a list": func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(page[:90])) },
+		"half a list": func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(testList[:90])) },
 		"unknown state": func(w http.ResponseWriter, _ *http.Request) {
-			w.Write([]byte(strings.Replace(page, "terminating", "lost", 1)))
+			w.Write([]byte(strings.Replace(testList, "terminating", "lost", 1)))
 		},
 		"no address": func(w http.ResponseWriter, _ *http.Request) {
-			w.Write([]byte(strings.Replace(page, "10.1.0.18:5432", "", 1)))
+			w.Write([]byte(strings.Replace(testList, "10.1.0.18:5432", "", 1)))
 		},
 		"absurd start": func(w http.ResponseWriter, _ *http.Request) {
-			w.Write([]byte(strings.Replace(page, "1767225600123", "-4", 1)))
+			w.Write([]byte(strings.Replace(testList, "1767225600123", "-4", 1)))
 		},
 		"negative weight": func(w http.ResponseWriter, _ *http.Request) {
-			w.Write([]byte(strings.Replace(page, "1.5", "-1.5", 1)))
+			w.Write([]byte(strings.Replace(testList, "1.5", "-1.5", 1)))
 		},
-		"no id": func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(strings.Replace(page, "s-1", "", 1))) },
+		"no id": func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(strings.Replace(testList, "s-1", "", 1))) },
 		"too large a cell": func(w http.ResponseWriter, _ *http.Request) {
-			w.Write([]byte(strings.Replace(page, `"cell":3`, `"cell":70000`, 1)))
+			w.Write([]byte(strings.Replace(testList, `"cell":3`, `"cell":70000`, 1)))
 		},
 	} {
-		c, lists := client(t, 200*time.Millisecond, h)
+		c, lists := startClient(t, 200*time.Millisecond, h)
 		for range 2 { // a failed watch can be asked for again
 			c.Watch()
 			if l := lists.next(t); l.scope != choice.ListFailed {
@@ -299,12 +299,12 @@
 
 func TestServersKeepTheirNumbers(t *testing.T) {
 	n := NewNames(exchange.StartClock(), &deployment.Told{})
-	a, b := n.server("s-5be2a07c"), n.server("S-5BE2A07C")
-	if a != 0x5be2a07c || b == a || n.server("s-5be2a07c") != a || n.server("S-5BE2A07C") != b {
+	a, b := n.serverNumber("s-5be2a07c"), n.serverNumber("S-5BE2A07C")
+	if a != 0x5be2a07c || b == a || n.serverNumber("s-5be2a07c") != a || n.serverNumber("S-5BE2A07C") != b {
 		t.Errorf("%x, %x", a, b)
 	}
 	n.servers[7] = "squatter"
-	if c := n.server("s-7"); c != 8 || n.server("s-7") != 8 {
+	if c := n.serverNumber("s-7"); c != 8 || n.serverNumber("s-7") != 8 {
 		t.Errorf("%x beside another with its number", c)
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -46,17 +46,17 @@
 	clock     exchange.Clock
 	servers   Servers
 	discovery Discovery
-	sharing   Sharing // or nil
+	gossip    Sharing // or nil
 	counts    *counters.Set
 
-	mu      sync.Mutex // around every call of the module, and all below
-	gateway *choice.Gateway
-	table   map[uint32]*entry
-	last    uint32        // id handed out
-	seen    time.Duration // the newest time told to the module
-	timers  map[uint32]time.Duration
-	next    time.Duration // when Run looks at the timers again
-	sooner  chan struct{} // a timer was set for before that
+	mu          sync.Mutex // around every call of the module, and all below
+	gateway     *choice.Gateway
+	table       map[uint32]*entry
+	lastID      uint32        // id handed out
+	lastTime    time.Duration // the newest time told to the module
+	timers      map[uint32]time.Duration
+	nextWake    time.Duration // when Run looks at the timers again
+	wakeEarlier chan struct{} // a timer was set for before that
 }
 
 // entry is an exchange with the number of sends made for it.
@@ -68,7 +68,7 @@
 // New makes the module's host. Start follows once all parts are there.
 func New(clock exchange.Clock, counts *counters.Set) *Dispatch {
 	return &Dispatch{clock: clock, counts: counts, table: map[uint32]*entry{},
-		timers: map[uint32]time.Duration{}, sooner: make(chan struct{}, 1)}
+		timers: map[uint32]time.Duration{}, wakeEarlier: make(chan struct{}, 1)}
 }
 
 // Start makes the module and hands it the list that was known at the start.
@@ -88,7 +88,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-d.sooner:
+		case <-d.wakeEarlier:
 		case <-wake.C:
 		}
 		wake.Reset(d.tick())
@@ -100,7 +100,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	d.next = now // what is set from here on needs no waking
+	d.nextWake = now // what is set from here on needs no waking
 	var due []uint32
 	for id, at := range d.timers {
 		if at <= now {
@@ -111,18 +111,18 @@
 		delete(d.timers, id)
 		d.gateway.Timer(now, id)
 	}
-	d.next = now + time.Hour
+	d.nextWake = now + time.Hour
 	for _, at := range d.timers {
-		d.next = min(d.next, at)
+		d.nextWake = min(d.nextWake, at)
 	}
-	return max(0, d.next-d.clock.Now())
+	return max(0, d.nextWake-d.clock.Now())
 }
 
 // now is the time of the event being handled. The mutex is held.
 func (d *Dispatch) now() time.Duration {
 	now := d.clock.Now()
-	invariant.Check(now >= d.seen, "the module's time never goes back")
-	d.seen = now
+	invariant.Check(now >= d.lastTime, "the module's time never goes back")
+	d.lastTime = now
 	return now
 }
 
@@ -131,11 +131,11 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	d.last++
-	for d.table[d.last] != nil {
-		d.last++
+	d.lastID++
+	for d.table[d.lastID] != nil {
+		d.lastID++
 	}
-	x.ID = d.last
+	x.ID = d.lastID
 	d.table[x.ID] = &entry{Exchange: x}
 	d.counts.Taken.Add(1)
 	d.counts.Held.Add(1)
@@ -182,11 +182,11 @@
 		d.counts.Left.Add(1)
 	}
 	close(x.Done)
-	d.forget(x)
+	d.removeIfDone(x)
 }
 
-// forget drops an exchange of which nothing more can come.
-func (d *Dispatch) forget(x *exchange.Exchange) {
+// removeIfDone drops an exchange of which nothing more can come.
+func (d *Dispatch) removeIfDone(x *exchange.Exchange) {
 	if x.Outcome != exchange.Held && !x.Out {
 		delete(d.table, x.ID)
 	}
@@ -199,14 +199,14 @@
 	now := d.now()
 	invariant.Check(x.Out, "a send ends once")
 	x.Out = false
-	if e.Result == choice.Acked && d.sharing != nil && e.Took <= x.Target {
-		d.sharing.Acked(server, now-e.Took)
+	if e.Result == choice.Acked && d.gossip != nil && e.Took <= x.Target {
+		d.gossip.Acked(server, now-e.Took)
 	}
 	if e.Result == choice.Acked && x.Outcome == exchange.Held {
 		x.Answer = e.Answer
 		d.finish(x, exchange.Acked)
 	}
-	d.forget(x)
+	d.removeIfDone(x)
 	d.report(now, server, e.Report)
 	d.gateway.Answer(now, x.ID, number, server, e.Result, e.Took, x.Outcome != exchange.Held, e.Role, e.Position)
 }
@@ -227,7 +227,7 @@
 }
 
 // Share sets up sharing with other gateways. It is called before Start, or not at all.
-func (d *Dispatch) Share(s Sharing) { d.sharing = s }
+func (d *Dispatch) Share(s Sharing) { d.gossip = s }
 
 // Rumour hands over how many other gateways, weighed, say that a server is in trouble.
 func (d *Dispatch) Rumour(server uint32, weight float64) {
@@ -243,8 +243,8 @@
 	defer d.mu.Unlock()
 	d.servers.Locate(addrs)
 	d.gateway.List(d.now(), scope, listed)
-	if d.sharing != nil && scope != choice.ListFailed {
-		d.sharing.Listed(addrs)
+	if d.gossip != nil && scope != choice.ListFailed {
+		d.gossip.Listed(addrs)
 	}
 }
 
@@ -281,11 +281,11 @@
 
 func (d *Dispatch) Timer(id uint32, at time.Duration) {
 	d.timers[id] = at
-	if at >= d.next {
+	if at >= d.nextWake {
 		return
 	}
 	select {
-	case d.sooner <- struct{}{}:
+	case d.wakeEarlier <- struct{}{}:
 	default:
 	}
 }
@@ -298,15 +298,15 @@
 func (d *Dispatch) Forget(server uint32) {
 	d.servers.Forget(server)
 	d.discovery.Forget(server)
-	if d.sharing != nil {
-		d.sharing.Forget(server)
+	if d.gossip != nil {
+		d.gossip.Forget(server)
 	}
 }
 
 // Trouble hands what the gateway has seen of a server to those who share it with others, if there are any.
 func (d *Dispatch) Trouble(server uint32, t choice.Trouble) {
-	if d.sharing != nil {
-		d.sharing.Trouble(server, t)
+	if d.gossip != nil {
+		d.gossip.Trouble(server, t)
 	}
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -11,9 +11,9 @@
 	"gorsewell/internal/standin"
 )
 
-// servers notes what the module wants; nothing comes back unless the test says so.
-type servers struct {
-	sent      []sent
+// fakeServers notes what the module wants; nothing comes back unless the test says so.
+type fakeServers struct {
+	sent      []sendCall
 	cancelled int
 	probed    int
 	closed    int
@@ -22,35 +22,35 @@
 	withdrawn int
 }
 
-type sent struct {
+type sendCall struct {
 	x      *exchange.Exchange
 	number uint8
 	server uint32
 	by     time.Duration
 }
 
-func (s *servers) Send(x *exchange.Exchange, number uint8, server uint32, by time.Duration) {
-	s.sent = append(s.sent, sent{x, number, server, by})
+func (s *fakeServers) Send(x *exchange.Exchange, number uint8, server uint32, by time.Duration) {
+	s.sent = append(s.sent, sendCall{x, number, server, by})
 }
-func (s *servers) Withdraw(uint32)                  { s.withdrawn++ }
-func (s *servers) Cancel(*exchange.Exchange, uint8) { s.cancelled++ }
-func (s *servers) Probe(uint32)                     { s.probed++ }
-func (s *servers) CloseIdle(uint32)                 { s.closed++ }
-func (s *servers) Locate(addrs map[uint32]string)   { s.located = addrs }
-func (s *servers) Forget(uint32)                    { s.forgotten++ }
+func (s *fakeServers) Withdraw(uint32)                  { s.withdrawn++ }
+func (s *fakeServers) Cancel(*exchange.Exchange, uint8) { s.cancelled++ }
+func (s *fakeServers) Probe(uint32)                     { s.probed++ }
+func (s *fakeServers) CloseIdle(uint32)                 { s.closed++ }
+func (s *fakeServers) Locate(addrs map[uint32]string)   { s.located = addrs }
+func (s *fakeServers) Forget(uint32)                    { s.forgotten++ }
 
-type lists struct{ asked, watched, forgotten int }
+type fakeDiscovery struct{ asked, watched, forgotten int }
 
-func (l *lists) Ask()   { l.asked++ }
-func (l *lists) Watch() { l.watched++ }
+func (l *fakeDiscovery) Ask()   { l.asked++ }
+func (l *fakeDiscovery) Watch() { l.watched++ }
 
-func (l *lists) Forget(uint32) { l.forgotten++ }
+func (l *fakeDiscovery) Forget(uint32) { l.forgotten++ }
 
 const primary, replica = 1, 2
 
-// start is a dispatch with one group of a primary and a replica, and three op types: a read, a write and a read
+// startDispatch is a dispatch with one group of a primary and a replica, and three op types: a read, a write and a read
 // that must see its session's last write.
-func start(t *testing.T) (*Dispatch, *servers, *lists) {
+func startDispatch(t *testing.T) (*Dispatch, *fakeServers, *fakeDiscovery) {
 	t.Helper()
 	told := &choice.Deployment{Gateways: 1, Round: 5 * time.Millisecond, ListAsked: true, AskWithin: 10 * time.Second,
 		MaxSends: 8, Cancels: true, TellsPosition: true, MarksCarried: true, OpTypes: []choice.OpType{
@@ -58,22 +58,22 @@
 			{Need: choice.Write, Target: 500 * time.Millisecond, Timeout: time.Second, Value: 1, LateValue: 0.5},
 			{Effect: choice.Retryable, Need: choice.Session, Target: 500 * time.Millisecond, Timeout: time.Second, Value: 1},
 		}}
-	d, s, l := New(exchange.StartClock(), &counters.Set{}), &servers{}, &lists{}
+	d, s, l := New(exchange.StartClock(), &counters.Set{}), &fakeServers{}, &fakeDiscovery{}
 	d.Start(s, l, told, []choice.Listed{
 		{ID: primary, State: choice.Ready, Primary: true, Started: choice.LongPast},
 		{ID: replica, State: choice.Ready, Started: choice.LongPast}}, nil)
 	return d, s, l
 }
 
-func take(d *Dispatch, kind uint8, within time.Duration) *exchange.Exchange {
+func submitOp(d *Dispatch, kind uint8, within time.Duration) *exchange.Exchange {
 	x := &exchange.Exchange{OpType: kind, Due: d.clock.Now() + within, After: choice.LongPast, Done: make(chan struct{})}
 	d.Take(x)
 	return x
 }
 
 func TestAnOpGoesOutAndItsAckComesBack(t *testing.T) {
-	d, s, l := start(t)
-	read, write := take(d, 0, time.Second), take(d, 1, time.Second)
+	d, s, l := startDispatch(t)
+	read, write := submitOp(d, 0, time.Second), submitOp(d, 1, time.Second)
 	if len(s.sent) != 2 || s.sent[0].server != replica || s.sent[1].server != primary || s.sent[0].by < read.Due || l.watched != 1 {
 		t.Fatalf("%+v, %+v", s, l)
 	}
@@ -85,8 +85,8 @@
 }
 
 func TestASendThatProvedNothingIsMadeAgain(t *testing.T) {
-	d, s, _ := start(t)
-	x := take(d, 0, time.Second)
+	d, s, _ := startDispatch(t)
+	x := submitOp(d, 0, time.Second)
 	d.SendEnded(x, 0, replica, exchange.Ended{Result: choice.NoConnection, Position: choice.LongPast})
 	for range 100 { // the module waits a little before it tries again
 		time.Sleep(5 * time.Millisecond)
@@ -100,8 +100,8 @@
 }
 
 func TestAWriteThatMayHaveRunIsAnError(t *testing.T) {
-	d, s, _ := start(t)
-	x := take(d, 1, time.Second)
+	d, s, _ := startDispatch(t)
+	x := submitOp(d, 1, time.Second)
 	d.SendEnded(x, 0, primary, exchange.Ended{Result: choice.Reset, Position: choice.LongPast})
 	if x.Outcome != exchange.Errored || len(s.sent) != 1 {
 		t.Errorf("%+v", x)
@@ -109,19 +109,19 @@
 }
 
 func TestAnOpTooLateToSendIsBusyReplied(t *testing.T) {
-	d, s, _ := start(t)
-	if x := take(d, 0, 0); x.Outcome != exchange.BusyReplied || len(s.sent) != 0 {
+	d, s, _ := startDispatch(t)
+	if x := submitOp(d, 0, 0); x.Outcome != exchange.BusyReplied || len(s.sent) != 0 {
 		t.Errorf("%+v", x)
 	}
 }
 
 func TestAStopEndsWhatIsHeldAndWhatIsOut(t *testing.T) {
-	d, s, _ := start(t)
-	write, out := take(d, 1, time.Second), take(d, 0, time.Second)
+	d, s, _ := startDispatch(t)
+	write, out := submitOp(d, 1, time.Second), submitOp(d, 0, time.Second)
 	s.withdrawn = 0
 	d.Listed(choice.ListChanges, []choice.Listed{{ID: primary, State: choice.Draining, Started: choice.LongPast},
 		{ID: replica, State: choice.Draining, Started: choice.LongPast}}, nil)
-	held := take(d, 1, time.Second)
+	held := submitOp(d, 1, time.Second)
 	if s.withdrawn != 2 || held.Over() || out.Over() || write.Over() {
 		t.Errorf("%d withdrawn, %+v, %+v, %+v", s.withdrawn, held, out, write)
 	}
@@ -132,22 +132,22 @@
 }
 
 func TestWhatIsTakenEqualsWhatEnds(t *testing.T) {
-	d, s, _ := start(t)
-	if standin.Breaks(func() { account(t, d, s) }) {
+	d, s, _ := startDispatch(t)
+	if standin.Breaks(func() { exerciseAllOutcomes(t, d, s) }) {
 		t.Error("an assertion broke")
 	}
 }
 
-func account(t *testing.T, d *Dispatch, s *servers) {
-	left := take(d, 0, time.Second)
+func exerciseAllOutcomes(t *testing.T, d *Dispatch, s *fakeServers) {
+	left := submitOp(d, 0, time.Second)
 	d.Left(left)
 	d.Left(left) // once is enough
-	acked, errored := take(d, 0, time.Second), take(d, 1, time.Second)
+	acked, errored := submitOp(d, 0, time.Second), submitOp(d, 1, time.Second)
 	d.SendEnded(acked, 0, replica, exchange.Ended{Result: choice.Acked, Position: choice.LongPast})
 	d.Left(acked) // crosses its answer
 	d.SendEnded(errored, 0, primary, exchange.Ended{Result: choice.TimedOut, Position: choice.LongPast})
-	take(d, 0, 0)
-	take(d, 1, time.Second)                                                                        // held
+	submitOp(d, 0, 0)
+	submitOp(d, 1, time.Second)                                                                    // held
 	d.SendEnded(left, 0, replica, exchange.Ended{Result: choice.Acked, Position: choice.LongPast}) // nobody waits for it
 	c := d.counts
 	if c.Taken.Load() != 5 || c.Acked.Load() != 1 || c.Errored.Load() != 1 || c.BusyReplied.Load() != 1 || c.Left.Load() != 1 ||
@@ -157,7 +157,7 @@
 }
 
 func TestAServerThatIsGoneIsForgottenEverywhere(t *testing.T) {
-	d, s, l := start(t)
+	d, s, l := startDispatch(t)
 	d.Listed(choice.ListChanges, []choice.Listed{{ID: replica, State: choice.Gone}, {ID: 3, State: choice.Ready}},
 		map[uint32]string{3: "127.0.0.1:5"})
 	d.mu.Lock()
@@ -169,9 +169,9 @@
 }
 
 func TestAHeldOpIsGivenUpByATimer(t *testing.T) {
-	d, s, _ := start(t)
+	d, s, _ := startDispatch(t)
 	d.Listed(choice.ListChanges, []choice.Listed{{ID: primary, State: choice.Draining}, {ID: replica, State: choice.Draining}}, nil)
-	x := take(d, 1, 100*time.Millisecond)
+	x := submitOp(d, 1, 100*time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- d.Run(ctx) }()
@@ -196,10 +196,10 @@
 		"a second end":            func(d *Dispatch, x *exchange.Exchange) { d.finish(x, exchange.Left); d.finish(x, exchange.Acked) },
 		"a send while one is out": func(d *Dispatch, x *exchange.Exchange) { d.Send(x.ID, primary, 0) },
 		"a send for nothing":      func(d *Dispatch, _ *exchange.Exchange) { d.Send(1<<31, primary, 0) },
-		"time going back":         func(d *Dispatch, x *exchange.Exchange) { d.seen = time.Hour; d.Left(x) },
+		"time going back":         func(d *Dispatch, x *exchange.Exchange) { d.lastTime = time.Hour; d.Left(x) },
 	} {
-		d, _, _ := start(t)
-		x := take(d, 0, time.Second)
+		d, _, _ := startDispatch(t)
+		x := submitOp(d, 0, time.Second)
 		if !standin.Breaks(func() { f(d, x) }) {
 			t.Errorf("%s passes", name)
 		}
@@ -207,20 +207,20 @@
 }
 
 func TestOnlyAnEarlierTimerWakesTheLoop(t *testing.T) {
-	d, _, _ := start(t)
+	d, _, _ := startDispatch(t)
 	d.tick()
 	for _, c := range []struct {
 		at    time.Duration
 		wakes int
-	}{{d.next + time.Millisecond, 0}, {d.next - time.Millisecond, 1}} {
-		if d.Timer(1, c.at); len(d.sooner) != c.wakes {
-			t.Errorf("at %v, next at %v: %d signs", c.at, d.next, len(d.sooner))
+	}{{d.nextWake + time.Millisecond, 0}, {d.nextWake - time.Millisecond, 1}} {
+		if d.Timer(1, c.at); len(d.wakeEarlier) != c.wakes {
+			t.Errorf("at %v, next at %v: %d signs", c.at, d.nextWake, len(d.wakeEarlier))
 		}
 	}
 }
 
 func TestASessionsMarkIsNeverTakenForNone(t *testing.T) {
-	d, s, _ := start(t)
+	d, s, _ := startDispatch(t)
 	for after, sends := range map[time.Duration]int{choice.LongPast: 1, d.clock.Now() + time.Second: 0} {
 		s.sent = nil // the second commit was rounded up, past the present: no replica is known to have it
 		d.Take(&exchange.Exchange{OpType: 2, Due: time.Second, After: after, Done: make(chan struct{})})
