--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters holds what a gateway counts of its work.
+// Package counters holds the counters of a gateway's work.
 package counters
 
 import (
@@ -12,7 +12,7 @@
 	"gorsewell/internal/invariant"
 )
 
-// sendEndNames names the counts of how sends ended.
+// sendEndNames holds the log names of the counters of ended sends, by their result.
 var sendEndNames = [...]string{
 	choice.Acked:        "send_acked",
 	choice.ServerError:  "send_error",
@@ -25,26 +25,36 @@
 	choice.Miss:         "send_missed",
 }
 
-// Set is the counters of one gateway. The zero value is ready to use.
+// Set holds the counters of one gateway. The zero value is ready to use. The names in the log are derived from the names of
+// the fields.
 type Set struct {
-	Taken                             atomic.Int64 // ops taken in
-	Acked, BusyReplied, Errored, Left atomic.Int64 // how they ended
-	Held                              atomic.Int64 // ops that have not ended
-	Sent                              atomic.Int64 // sends written whole to a server
-	SendEnds                          [len(sendEndNames)]atomic.Int64
-	Probes, ProbesAcked               atomic.Int64
-	ServerConns, ServerReused         atomic.Int64 // connections opened, taken again
-	ServerBroken, ServerRefused       atomic.Int64 // that ended under a send, or while they were idle; that never came up
-	ClientConns, ClientRefused        atomic.Int64 // connections taken in, turned away
-	ClientIdleClosed                  atomic.Int64 // quiet ones closed to make room
-	ClientOpen, ServerOpen            atomic.Int64 // connections held now
-	Malformed                         atomic.Int64 // client connections ended for bytes that cannot be read
-	Unusable                          atomic.Int64 // queries without usable comment, of unknown op type, too long
-	MalformedAnswers                  atomic.Int64
-	Lists, ListsFailed                atomic.Int64
+	Taken            atomic.Int64                    // ops received from clients
+	Acked            atomic.Int64                    // ops that ended with an ack
+	BusyReplied      atomic.Int64                    // ops that ended with a busy reply
+	Errored          atomic.Int64                    // ops that ended with an error
+	Left             atomic.Int64                    // ops that ended because the client disconnected
+	Held             atomic.Int64                    // ops that have not ended yet
+	Sent             atomic.Int64                    // sends that were written completely to a server
+	SendEnds         [len(sendEndNames)]atomic.Int64 // ended sends by choice.Result
+	Probes           atomic.Int64                    // probes requested by the decision module
+	ProbesAcked      atomic.Int64                    // probes that were acked
+	ServerConns      atomic.Int64                    // server connections established
+	ServerReused     atomic.Int64                    // times that an idle server connection was used for a send or a probe
+	ServerBroken     atomic.Int64                    // server connections that ended during a send or a probe, or while idle
+	ServerRefused    atomic.Int64                    // server connections that could not be established
+	ClientConns      atomic.Int64                    // client connections accepted
+	ClientRefused    atomic.Int64                    // client connections turned away
+	ClientIdleClosed atomic.Int64                    // idle client connections closed to make room for new ones
+	ClientOpen       atomic.Int64                    // client connections that are open now
+	ServerOpen       atomic.Int64                    // server connections that are open now
+	Malformed        atomic.Int64                    // client connections closed because of bytes that could not be parsed
+	Unusable         atomic.Int64                    // queries without a usable comment, of an unknown op type, or too long
+	MalformedAnswers atomic.Int64                    // server messages that could not be parsed or were not expected
+	Lists            atomic.Int64                    // calls of discovery that succeeded
+	ListsFailed      atomic.Int64                    // calls of discovery that failed
 }
 
-// Attrs gives all counters for a log line, in the order in which they are declared.
+// Attrs returns all counters as attributes of a log line, in the order of their declaration.
 func (s *Set) Attrs() (all []slog.Attr) {
 	v := reflect.ValueOf(s).Elem()
 	for i := range v.NumField() {
@@ -60,7 +70,7 @@
 	return append(all, slog.Int64("assertions_broken", invariant.Broken()))
 }
 
-// String gives all counters as key=value.
+// String returns all counters as key=value pairs.
 func (s *Set) String() string {
 	var b strings.Builder
 	for i, a := range s.Attrs() {
@@ -72,7 +82,7 @@
 	return b.String()
 }
 
-// snakeCase is a field's name as the log has it.
+// snakeCase returns the log name of a field.
 func snakeCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -7,7 +7,7 @@
 	"gorsewell/choice"
 )
 
-func TestAllAreGivenByName(t *testing.T) {
+func TestStringHoldsAllCounters(t *testing.T) {
 	s := &Set{}
 	s.Taken.Add(3)
 	s.BusyReplied.Add(2)
--- a/internal/counters/names_test.go
+++ b/internal/counters/names_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The names of the counters are derived from the names of the fields. Operators and tools match them in the log.
-func TestOuterNamesOfTheCounters(t *testing.T) {
+// Operators and tools match the log names of the counters, which are derived from the names of the fields.
+func TestCounterNamesInLog(t *testing.T) {
 	const want = "taken acked busy_replied errored left held sent send_acked send_error send_full send_timed_out send_no_connection " +
 		"send_reset send_cancelled send_not_sent send_missed probes probes_acked server_conns server_reused server_broken " +
 		"server_refused client_conns client_refused client_idle_closed client_open server_open malformed unusable " +
@@ -16,6 +16,6 @@
 		names = append(names, a.Key)
 	}
 	if got := strings.Join(names, " "); got != want {
-		t.Errorf("the counters are named\n%s\nand should be\n%s", got, want)
+		t.Errorf("got counter names\n%s\nwant\n%s", got, want)
 	}
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment turns the settings that a gateway is given into what the decision module is told. The
-// bench's adapter and the gateway on sockets both use it, so both tell the module the same.
+// Package deployment parses the platform's settings of a deployment into the parameters of the decision module. The adapter
+// for the simulator and the gateway on sockets both use it, so that the module gets the same parameters from both.
 package deployment
 
 import (
@@ -16,10 +16,10 @@
 	"gorsewell/choice"
 )
 
-// Values holds the settings by path, as text; a list of plain values is joined by commas.
+// Values holds the settings as text by their path. The elements of a list of scalars are joined by commas.
 type Values map[string]string
 
-// FromText reads settings that stand as path=value on lines of their own.
+// FromText parses settings of the form path=value, one per line.
 func FromText(text []byte) (Values, error) {
 	v := Values{}
 	for line := range strings.Lines(string(text)) {
@@ -29,14 +29,14 @@
 		}
 		path, value, ok := strings.Cut(line, "=")
 		if !ok {
-			return nil, fmt.Errorf("setting %q has no value", line)
+			return nil, fmt.Errorf("setting %q: expected path=value, found no equals sign", line)
 		}
 		v[path] = value
 	}
 	return v, nil
 }
 
-// FromJSON reads settings that stand as nested JSON, giving each the path that it has in text.
+// FromJSON parses settings in nested JSON. Each gets the same path as in the text form.
 func FromJSON(text []byte) (Values, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -49,8 +49,9 @@
 	return v, nil
 }
 
+// flatten stores a value, and all that is nested in it, under their paths.
 func (v Values) flatten(path string, value any) {
-	under := func(name string) string {
+	join := func(name string) string {
 		if path == "" {
 			return name
 		}
@@ -60,55 +61,58 @@
 	case nil:
 	case map[string]any:
 		for name, inner := range x {
-			v.flatten(under(name), inner)
+			v.flatten(join(name), inner)
 		}
 	case []any:
-		plain := make([]string, 0, len(x))
+		scalars := make([]string, 0, len(x))
 		for i, inner := range x {
 			switch inner.(type) {
 			case map[string]any, []any:
-				v.flatten(under(strconv.Itoa(i)), inner)
-				v[under("count")] = strconv.Itoa(len(x))
+				v.flatten(join(strconv.Itoa(i)), inner)
+				v[join("count")] = strconv.Itoa(len(x))
 			default:
-				plain = append(plain, Plain(fmt.Sprint(inner)))
+				scalars = append(scalars, Plain(fmt.Sprint(inner)))
 			}
 		}
-		if len(plain) == len(x) {
-			v[path] = strings.Join(plain, ",")
+		if len(scalars) == len(x) {
+			v[path] = strings.Join(scalars, ",")
 		}
 	default:
 		v[path] = fmt.Sprint(x)
 	}
 }
 
-// Plain is a name as it stands in a list of plain values.
+// NormalizeName returns a name in the form that it has in a list of scalars: with an underscore for each space and comma.
 func Plain(name string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(name) }
 
-// Told is all that is taken from the settings: what the module is told, and what its surroundings need.
+// Settings holds the parsed settings: the parameters of the decision module and those of the rest of the gateway.
 type Told struct {
 	choice.Deployment
-	Zero           uint64   // clock time from which positions count on the bench's wire
-	ReportNames    []string // of the values in a load report
+	Zero           uint64   // simulator clock time in nanoseconds at which positions in the log begin
+	ReportNames    []string // names of the values in a load report
 	OpTypeNames    []string
-	Zones, Kinds   []string
-	ConnectTimeout time.Duration // within which a connection comes up, or never; else the longest op timeout
-	IdleTime       time.Duration // for which a server keeps an idle connection
-	DrainGrace     time.Duration // after which nothing new may go to a server that leaves
-	LongestMessage int           // of a client or server; 0: as long as the protocol's page says
+	Zones          []string
+	Kinds          []string      // kinds of machine
+	ConnectTimeout time.Duration // for establishing a connection; if not set, the longest op timeout
+	IdleTime       time.Duration // after which a server closes an idle connection
+	DrainGrace     time.Duration // after the start of a drain, during which a server may still get new ops
+	LongestMessage int           // limit for one message of a client or server; 0: the limit of the protocol
 }
 
-// reader picks values by path; the first that does not parse is kept as err.
+// reader parses values by their path and keeps the first error.
 type reader struct {
 	Values
 	err error
 }
 
+// fail records that the value at a path is invalid.
 func (r *reader) fail(path string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("setting %s=%q does not parse", path, r.Values[path])
+		r.err = fmt.Errorf("setting %s=%q is not a valid value", path, r.Values[path])
 	}
 }
 
+// number parses a finite number; a missing value is 0.
 func (r *reader) number(path string) float64 {
 	v := r.Values[path]
 	if v == "" {
@@ -122,7 +126,7 @@
 	return f
 }
 
-// duration reads a time in nanoseconds; none is negative.
+// duration parses a time in nanoseconds, which must not be negative; a missing value is 0.
 func (r *reader) duration(path string) time.Duration {
 	n, err := parseDuration(r.Values[path])
 	if err != nil || n < 0 {
@@ -131,6 +135,7 @@
 	return max(0, n)
 }
 
+// parseDuration parses a time in nanoseconds; an empty text is 0.
 func parseDuration(v string) (time.Duration, error) {
 	if v == "" {
 		return 0, nil
@@ -139,24 +144,26 @@
 	if err == nil {
 		return time.Duration(n), nil
 	}
-	f, err := strconv.ParseFloat(v, 64) // JSON may write a whole number with a point or an exponent
+	f, err := strconv.ParseFloat(v, 64) // JSON may write a whole number with a decimal point or an exponent
 	if err != nil || f != math.Trunc(f) || math.Abs(f) >= 1<<63 {
-		return 0, fmt.Errorf("%q is no time in nanoseconds", v)
+		return 0, fmt.Errorf("expected a whole number of nanoseconds, found %q", v)
 	}
 	return time.Duration(f), nil
 }
 
+// boolean parses true or false; a missing value is false.
 func (r *reader) boolean(path string) bool { return r.enum(path, "true", "false") == "true" }
 
-// enum reads a value that has to be one of a few, or missing.
+// enum returns a value, which has to be one of those known or missing.
 func (r *reader) enum(path string, known ...string) string {
 	v := r.Values[path]
 	if v != "" && !slices.Contains(known, v) && r.err == nil {
-		r.err = fmt.Errorf("setting %s=%q has to be one of %s", path, v, strings.Join(known, ", "))
+		r.err = fmt.Errorf("setting %s=%q: expected one of %s", path, v, strings.Join(known, ", "))
 	}
 	return v
 }
 
+// list parses a list whose elements are separated by commas.
 func (r *reader) list(path string) []string {
 	if r.Values[path] == "" {
 		return nil
@@ -164,7 +171,7 @@
 	return strings.Split(r.Values[path], ",")
 }
 
-// Read picks what is known from the settings. Unknown paths are skipped, missing ones read as zero.
+// Read parses the settings. Unknown paths are ignored. Missing ones are zero, or a default that imposes no limit.
 func (v Values) Read() (*Told, error) {
 	r := &reader{Values: v}
 	t := &Told{
@@ -217,24 +224,24 @@
 }
 
 const (
-	unlimited     = time.Hour // stands for a time that the settings do not state: it binds nobody
-	maxOpTypes    = 256       // op types, as one byte tells them apart
-	maxSendsPerOp = 255       // of an op, for the same reason
+	unlimited     = time.Hour // stands for a timeout that the settings do not state
+	maxOpTypes    = 256       // an op type is identified by one byte
+	maxSendsPerOp = 255       // a send of an op is identified by one byte
 )
 
-// applyDefaults puts in what the settings do not say: a limit that is missing, or zero, does not bind, and an op type without a
-// latency target is of use until its op timeout.
+// applyDefaults fills in what the settings do not state. A limit that is missing or zero does not apply, and an answer to an
+// op type without a latency target is useful until the op timeout.
 func (r *reader) applyDefaults(t *Told) {
 	if t.MaxSends <= 0 || t.MaxSends > maxSendsPerOp {
 		t.MaxSends = maxSendsPerOp
 	}
 	if t.OverloadFactor <= 0 || t.OverloadTime <= 0 {
-		t.ColdTime = 0 // nothing says how much a cold server bears: none counts as cold
+		t.ColdTime = 0 // the capacity of a cold server is unknown: no server is treated as cold
 	}
-	longest, names := time.Duration(0), map[string]bool{}
+	longestTimeout, names := time.Duration(0), map[string]bool{}
 	for i := range t.OpTypes {
 		o := &t.OpTypes[i]
-		longest = max(longest, o.Timeout, o.Target)
+		longestTimeout = max(longestTimeout, o.Timeout, o.Target)
 		if o.Timeout == 0 {
 			o.Timeout = unlimited
 		}
@@ -245,41 +252,42 @@
 		switch {
 		case r.err != nil:
 		case name == "":
-			r.err = fmt.Errorf("setting classes.%d.name is missing", i)
+			r.err = fmt.Errorf("setting classes.%d.name is missing: expected the name of an op type", i)
 		case names[name]:
-			r.err = fmt.Errorf("setting classes.%d.name=%q stands for another op type already", i, name)
+			r.err = fmt.Errorf("setting classes.%d.name=%q: expected a unique name, found another op type of this name", i, name)
 		}
 		names[name] = true
 	}
-	if longest == 0 && len(t.OpTypes) > 0 && r.err == nil {
-		r.err = errors.New("the settings state neither a latency target (target) nor an op timeout (give_up) of any op type")
+	if longestTimeout == 0 && len(t.OpTypes) > 0 && r.err == nil {
+		r.err = errors.New("settings: expected a latency target (target) or an op timeout (give_up) for at least one op type, found none")
 	}
 	if t.ConnectTimeout == 0 {
-		t.ConnectTimeout = longest
+		t.ConnectTimeout = longestTimeout
 	}
 }
 
-func (r *reader) readOpTypes(d *Told) {
+// readOpTypes parses the op types.
+func (r *reader) readOpTypes(settings *Told) {
 	needs, bounds := r.list("family_info.needs_by_class"), r.list("family_info.lag_allowed")
 	if n := r.number("classes.count"); n > maxOpTypes && r.err == nil {
-		r.err = fmt.Errorf("the settings name %.0f op types: %d at most can be told apart", n, maxOpTypes)
+		r.err = fmt.Errorf("setting classes.count=%.0f: expected at most %d op types", n, maxOpTypes)
 	}
 	for i := range int(max(0, min(r.number("classes.count"), maxOpTypes))) {
-		at := func(name string) string { return fmt.Sprintf("classes.%d.%s", i, name) }
+		path := func(name string) string { return fmt.Sprintf("classes.%d.%s", i, name) }
 		t := choice.OpType{
-			Window:    r.duration(at("window")),
-			Target:    r.duration(at("target")),
-			Timeout:   r.duration(at("give_up")),
-			Value:     r.number(at("worth")),
-			LateValue: r.number(at("late_value")),
+			Window:    r.duration(path("window")),
+			Target:    r.duration(path("target")),
+			Timeout:   r.duration(path("give_up")),
+			Value:     r.number(path("worth")),
+			LateValue: r.number(path("late_value")),
 		}
-		switch r.Values[at("effect")] {
+		switch r.Values[path("effect")] {
 		case "retryable":
 			t.Effect = choice.Retryable
 		case "dedup":
 			t.Effect = choice.Tokened
 		}
-		switch r.Values[at("dedup_scope")] {
+		switch r.Values[path("dedup_scope")] {
 		case "all":
 			t.Scope = choice.ScopeAll
 		case "zone":
@@ -296,7 +304,7 @@
 			}
 			t.Bound = bound
 		}
-		d.OpTypes = append(d.OpTypes, t)
-		d.OpTypeNames = append(d.OpTypeNames, r.Values[at("name")])
+		settings.OpTypes = append(settings.OpTypes, t)
+		settings.OpTypeNames = append(settings.OpTypeNames, r.Values[path("name")])
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery keeps up with the list of servers over HTTP.
+// Package discovery keeps the list of servers up to date with HTTP long polls.
 package discovery
 
 import (
@@ -27,38 +27,39 @@
 	"gorsewell/internal/exchange"
 )
 
-const maxListBytes = 16 << 20 // bytes of a list
+const maxListBytes = 16 << 20 // limit for the body of a response; the rest is cut off
 
-// ToldWithin is how long after a change a gateway counts as told of it, whatever failed before, if discovery had it and could be
-// reached. What is below is cut from it, so that it holds for any time to ask in that the settings may give: a watch that falls
-// silent as soon as it is opened is given up, and another call answered, within that time; and so is a call that was lost, the
-// backoff after it and the call after that.
+// MaxPropagationDelay is the time after a change of the list by which every gateway must know it, whatever failed before,
+// provided that discovery knew the change and could be reached. The times below are fractions of it, so that it is kept for any
+// value of the setting rules.must_ask_in. Within it, a watch that gets no answer from its start on is given up and another call
+// is answered; and within it, a call that was lost, the backoff after it, and the next call end.
 const ToldWithin = 6 * time.Second
 
-// AskWithin is the time that the module is told, a quarter of which is its longest backoff. Where lists are pushed, what discovery
-// has counts as told at once, also when it comes back: then a call fails for so short a time that half of the grace is left.
-func AskWithin(told *deployment.Told) time.Duration {
-	if told.ListAsked {
+// AskWithin returns the value of choice.Deployment.AskWithin. The module's longest backoff is a quarter of it. If lists are
+// pushed, gateways are expected to know at once what discovery knows, also when discovery has just become reachable again. In
+// that case the backoff after a failed call is limited to half of the drain grace, so that the other half is left.
+func AskWithin(settings *deployment.Told) time.Duration {
+	if settings.ListAsked {
 		return ToldWithin * 4 / 5
 	}
-	return min(ToldWithin, max(2*told.DrainGrace, 4*minBackoff))
+	return min(ToldWithin, max(2*settings.DrainGrace, 4*minBackoff))
 }
 
-// minBackoff keeps gateways from asking a discovery that is down without a pause.
+// minBackoff keeps gateways from calling a discovery that is down in a busy loop.
 const minBackoff = 50 * time.Millisecond
 
-// Discovery handles calls one after another, and lets each wait for up to two seconds. A call that is given up sooner is handled all
-// the same: where gateways that started together do so and ask again, discovery works for nobody, and none of them is told anything
-// for good. So a call that is to be queued is given longer than that.
+// Discovery handles calls one after another and lets each wait in its queue for up to 2 s. It also handles calls that the gateway
+// has given up by then: if gateways that started together gave up their calls early and repeated them, discovery would work only
+// on abandoned calls and no gateway would ever get a list. So the timeout of a call that may be queued is longer than 2 s.
 const (
-	openingWatchWait = 10 * time.Millisecond // of the call that opens a watch: the next one goes on with it and is not queued anew
-	maxWatchWait     = ToldWithin * 2 / 5    // of a watch that goes on
-	watchWaitJitter  = ToldWithin / 10       // by which waits are shorter, by chance
-	watchAnswerGrace = ToldWithin / 6        // how long after its wait a watch's answer may come
-	callTimeout      = ToldWithin * 2 / 5    // of any other call, connecting included
+	openingWatchWait = 10 * time.Millisecond // wait of the first call of a watch; the next call continues it and is not queued
+	maxWatchWait     = ToldWithin * 2 / 5    // longest wait of a later call of a watch
+	watchWaitJitter  = ToldWithin / 10       // a random part of this is subtracted from maxWatchWait
+	watchAnswerGrace = ToldWithin / 6        // time after the end of its wait in which such a call has to be answered
+	callTimeout      = ToldWithin * 2 / 5    // timeout of any other call, including the time to connect
 )
 
-// Page is a list of servers as discovery writes it.
+// List is a list of servers, or of changes to one, as discovery sends it.
 type Page struct {
 	Version uint64  `json:"version"`
 	Full    bool    `json:"full"`
@@ -78,21 +79,23 @@
 	Started int64   `json:"started_ms"`
 }
 
-// Names gives servers, zones and kinds of machine the numbers by which the module knows them.
+// Names maps the names of servers, zones and kinds of machine to the numbers that the decision module uses.
 type Names struct {
-	clock        exchange.Clock
-	zones, kinds []string
+	clock exchange.Clock
+	zones []string // by number
+	kinds []string // kinds of machine, by number
 
-	mu      sync.Mutex // guards the servers, which others forget
+	mu      sync.Mutex // guards servers, which Forget changes from other goroutines
 	servers map[uint32]string
 }
 
-// NewNames begins with the zones and kinds that the settings name.
-func NewNames(clock exchange.Clock, told *deployment.Told) *Names {
-	return &Names{clock: clock, zones: told.Zones, kinds: told.Kinds, servers: map[uint32]string{}}
+// NewNames returns Names with the zones and kinds of machine that the settings name.
+func NewNames(clock exchange.Clock, settings *deployment.Told) *Names {
+	return &Names{clock: clock, zones: settings.Zones, kinds: settings.Kinds, servers: map[uint32]string{}}
 }
 
-// serverNumber is the number in an id such as s-5be2a07c, the same at every gateway; other ids are hashed.
+// serverNumber returns the number of a server and assigns one if it has none. For an ID such as s-5be2a07c it is the number in
+// the ID, which is the same at every gateway; other IDs are hashed. The next free number is taken if another server has it.
 func (n *Names) serverNumber(id string) uint32 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -101,32 +104,33 @@
 		number = uint64(crc32.ChecksumIEEE([]byte(id)))
 	}
 	for at := uint32(number); ; at++ {
-		if have, ok := n.servers[at]; !ok || have == id {
+		if known, ok := n.servers[at]; !ok || known == id {
 			n.servers[at] = id
 			return at
 		}
 	}
 }
 
-// ID is the id in the list of the server with a number; empty where there is none.
+// ID returns the ID in the list of the server with a number, or "" if there is none.
 func (n *Names) ID(server uint32) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.servers[server]
 }
 
-// Forget gives a server's number free.
+// Forget frees the number of a server.
 func (n *Names) Forget(server uint32) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.servers, server)
 }
 
+// internName returns the number of a name and adds the name if it is new. All names beyond the first 256 share one number.
 func internName(names *[]string, name string) uint8 {
 	name = deployment.Plain(name)
 	i := slices.Index(*names, name)
 	if i < 0 {
-		if i = len(*names); i > math.MaxUint8 { // more than can be told apart
+		if i = len(*names); i > math.MaxUint8 { // a number is one byte
 			return math.MaxUint8
 		}
 		*names = append(*names, name)
@@ -134,12 +138,12 @@
 	return uint8(i)
 }
 
-// Listed is the page in the module's terms, and the servers' addresses.
-func (n *Names) Listed(p *Page) (listed []choice.Listed, addrs map[uint32]string, err error) {
+// Convert returns the servers of a list in the form that the decision module takes, and their addresses.
+func (n *Names) Listed(list *Page) (listed []choice.Listed, addrs map[uint32]string, err error) {
 	addrs = map[uint32]string{}
-	for _, e := range p.Servers {
+	for _, e := range list.Servers {
 		if e.ID == "" {
-			return nil, nil, errors.New("a server has no id")
+			return nil, nil, errors.New("expected a server ID, found an empty one")
 		}
 		l := choice.Listed{ID: n.serverNumber(e.ID), Group: e.Cell, Zone: internName(&n.zones, e.Zone),
 			Kind: internName(&n.kinds, e.Kind), Primary: e.Role == "primary", Started: choice.LongPast, Weight: e.Weight}
@@ -151,18 +155,18 @@
 		case "terminated":
 			l.State = choice.Gone
 		default:
-			return nil, nil, fmt.Errorf("server %q is in unknown state %q", e.ID, e.State)
+			return nil, nil, fmt.Errorf("server %q: expected state in_service, terminating or terminated, found %q", e.ID, e.State)
 		}
 		if e.Started != 0 {
 			at, ok := n.clock.FromUnix(e.Started)
 			if !ok {
-				return nil, nil, fmt.Errorf("server %q started at %d", e.ID, e.Started)
+				return nil, nil, fmt.Errorf("server %q: expected started_ms to be a Unix time in milliseconds, found %d", e.ID, e.Started)
 			}
 			l.Started = at
 		}
 		if l.State != choice.Gone {
 			if _, _, err := net.SplitHostPort(e.Addr); err != nil || e.Weight < 0 {
-				return nil, nil, fmt.Errorf("server %q has address %q, weight %v", e.ID, e.Addr, e.Weight)
+				return nil, nil, fmt.Errorf("server %q: expected an address host:port and a weight of at least 0, found %q and %v", e.ID, e.Addr, e.Weight)
 			}
 			addrs[l.ID] = e.Addr
 		}
@@ -171,56 +175,57 @@
 	return listed, addrs, nil
 }
 
-// Taker takes what discovery tells, in order.
+// ListHandler handles the lists from discovery in the order in which they arrive.
 type Taker interface {
 	Listed(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string)
 }
 
-// Client asks discovery. One goroutine, Run, makes all calls one after another.
+// Client calls discovery. One goroutine, Run, makes all calls one after another.
 type Client struct {
-	moves        chan string // the newest address to go on at, not gone to yet
+	moves        chan string // the newest address to move to, if Run has not moved to it yet
 	listURL      string
 	names        *Names
 	handler      Taker
 	counts       *counters.Set
 	http         http.Client
-	timeout      time.Duration // in which a call that does not wait is answered
+	timeout      time.Duration // of a call that does not wait for changes
 	dial         func(ctx context.Context, network, addr string) (net.Conn, error)
 	rng          *rand.Rand
-	versionValid bool // the version is one that this discovery has counted
-	watchOpen    bool // a watch is open: the last call was one and has just been answered
+	versionValid bool // whether the version was counted by the discovery at the present address
+	watchOpen    bool // whether the last call was one of a watch and has just been answered
 	version      uint64
-	ask          chan struct{}
-	watch        chan struct{}
-	failing      bool
+	ask          chan struct{} // a pending request of Ask
+	watch        chan struct{} // a pending request of Watch
+	failing      bool          // whether the last call failed
 }
 
-// New makes a client of the discovery at addr that holds the list of the version.
-func New(addr string, version uint64, names *Names, told *deployment.Told, taker Taker, counts *counters.Set) *Client {
-	c := &Client{names: names, handler: taker, counts: counts, timeout: callTimeout, dial: (&net.Dialer{}).DialContext,
-		rng: rand.New(rand.NewPCG(told.Seed, uint64(version))), versionValid: true, version: version, moves: make(chan string, 1), ask: make(chan struct{}, 1), watch: make(chan struct{}, 1)}
+// New returns a client of the discovery at addr. The version is that of the list that the gateway knows already.
+func New(addr string, version uint64, names *Names, settings *deployment.Told, handler Taker, counts *counters.Set) *Client {
+	c := &Client{names: names, handler: handler, counts: counts, timeout: callTimeout, dial: (&net.Dialer{}).DialContext,
+		rng: rand.New(rand.NewPCG(settings.Seed, uint64(version))), versionValid: true, version: version, moves: make(chan string, 1), ask: make(chan struct{}, 1), watch: make(chan struct{}, 1)}
 	c.setAddress(addr)
 	c.http.Transport = &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2, DialContext: c.connect}
 	return c
 }
 
-// connect dials discovery. net/http does not end a dial with the call that wanted it: where nobody answers, two that were left
-// behind would take up all connections that there may be, and no later call be made for as long as the system goes on trying.
+// connect dials discovery with a timeout. net/http does not end a dial when the call that started it ends: if nobody answers,
+// two abandoned dials would use up MaxConnsPerHost and block all later calls until the system gives up connecting.
 func (c *Client) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	limited, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	return c.dial(limited, network, addr)
 }
 
-// Ask asks for the whole list, without waiting for it.
+// Ask requests the whole list. It does not wait for it.
 func (c *Client) Ask() { notify(c.ask) }
 
-// Watch asks for changes from now on, without waiting for them. It ends with a failed call.
+// Watch requests all changes from now on. It does not wait for them. The watch ends when a call fails.
 func (c *Client) Watch() { notify(c.watch) }
 
-// Forget drops what is kept of a server.
+// Forget frees the number of a server.
 func (c *Client) Forget(server uint32) { c.names.Forget(server) }
 
+// notify signals on a channel unless a signal is pending there.
 func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -228,40 +233,41 @@
 	}
 }
 
-// Move goes on at another address: a call under way is dropped, and what was asked for is asked there.
+// Move switches to another address. A call in progress is cancelled, pending requests are made at the new address, and a watch is
+// started there.
 func (c *Client) Move(addr string) {
 	select {
-	case <-c.moves: // never gone to
+	case <-c.moves: // replaced before Run moved there
 	default:
 	}
 	c.moves <- addr
 }
 
+// setAddress sets the address of the next call.
 func (c *Client) setAddress(addr string) { c.listURL = "http://" + addr + "/v1/servers" }
 
-// Run makes the calls that were asked for until the context ends. An asking waits for the call under way, a move
-// ends it.
+// Run makes the requested calls until the context is cancelled. A request waits for the call in progress; a move cancels it.
 func (c *Client) Run(ctx context.Context) error {
 	defer c.http.CloseIdleConnections()
 	for ctx.Err() == nil {
-		here, leave := context.WithCancel(ctx)
+		callCtx, cancel := context.WithCancel(ctx)
 		var next string
 		var group errgroup.Group
 		group.Go(func() error {
-			defer leave()
+			defer cancel()
 			select {
-			case <-here.Done():
+			case <-callCtx.Done():
 			case next = <-c.moves:
 			}
 			return nil
 		})
-		c.makeCalls(here)
-		leave()
+		c.makeCalls(callCtx)
+		cancel()
 		group.Wait()
 		if next != "" {
 			c.http.CloseIdleConnections()
 			c.setAddress(next)
-			c.versionValid = false // versions may count otherwise there
+			c.versionValid = false // another discovery may count versions differently
 			slog.Info("discovery_moved", "discovery", next)
 			c.Watch()
 		}
@@ -269,55 +275,57 @@
 	return nil
 }
 
-// makeCalls makes the calls at one address.
-func (c *Client) makeCalls(here context.Context) {
+// makeCalls makes the requested calls at one address until the context is cancelled.
+func (c *Client) makeCalls(ctx context.Context) {
 	watching := false
-	for here.Err() == nil {
+	for ctx.Err() == nil {
 		if watching && len(c.ask) == 0 {
-			watching = c.fetchChanges(here)
+			watching = c.fetchChanges(ctx)
 			continue
 		}
 		select {
-		case <-here.Done():
+		case <-ctx.Done():
 		case <-c.ask:
 			c.watchOpen = false
-			c.fetch(here, "", c.timeout)
+			c.fetch(ctx, "", c.timeout)
 		case <-c.watch:
 			c.watchOpen = false
-			watching = c.fetchChanges(here)
+			watching = c.fetchChanges(ctx)
 		}
 	}
 }
 
-// watchWait is how long a watch waits: gateways that start together, or hear of one change, would else ask in step for good.
+// watchWait returns the wait of the next call of a watch. It is random: otherwise gateways that start together, or that get the
+// same change, would call in lockstep from then on.
 func (c *Client) watchWait() time.Duration {
 	return maxWatchWait - time.Duration(c.rng.Int64N(int64(watchWaitJitter)+1))
 }
 
-// fetchChanges asks for what is newer than the list held, and waits for it; where none is, for the whole list. The first such call
-// hardly waits: each asking has its answer, and what follows is the same watch.
+// fetchChanges requests the changes since the version and waits for them; without a valid version it requests the whole list.
+// The first call of a watch waits only for a short time, so that each request of a watch is answered soon; later calls continue
+// the same watch. The result is false if the call failed.
 func (c *Client) fetchChanges(ctx context.Context) bool {
 	if !c.versionValid {
 		return c.fetch(ctx, "", c.timeout)
 	}
-	wait, limit := openingWatchWait, c.timeout
+	wait, timeout := openingWatchWait, c.timeout
 	if c.watchOpen {
 		wait = c.watchWait()
-		limit = wait + watchAnswerGrace
+		timeout = wait + watchAnswerGrace
 	}
-	c.watchOpen = c.fetch(ctx, fmt.Sprintf("?since=%d&timeout_ms=%d", c.version, wait.Milliseconds()), limit)
+	c.watchOpen = c.fetch(ctx, fmt.Sprintf("?since=%d&timeout_ms=%d", c.version, wait.Milliseconds()), timeout)
 	return c.watchOpen
 }
 
-// fetch makes one fetch and hands over what it told; false if it failed.
-func (c *Client) fetch(ctx context.Context, query string, within time.Duration) bool {
-	limited, cancel := context.WithTimeout(ctx, within)
+// fetch makes one call and passes the list on to the handler. The result is false if the call failed.
+func (c *Client) fetch(ctx context.Context, query string, timeout time.Duration) bool {
+	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	p, err := c.get(limited, query)
+	list, err := c.get(limited, query)
 	var listed []choice.Listed
 	var addrs map[uint32]string
 	if err == nil {
-		listed, addrs, err = c.names.Listed(p)
+		listed, addrs, err = c.names.Listed(list)
 	}
 	if ctx.Err() != nil {
 		return false
@@ -332,37 +340,38 @@
 		return false
 	}
 	if c.failing {
-		slog.Info("discovery_back", "version", p.Version)
+		slog.Info("discovery_back", "version", list.Version)
 	}
 	c.failing = false
 	c.counts.Lists.Add(1)
-	c.versionValid = p.Full || p.Version >= c.version // else it counts anew, and what it calls changes may not be all
-	c.version = p.Version
+	c.versionValid = list.Full || list.Version >= c.version // otherwise discovery restarted its count, and changes since a version may be incomplete
+	c.version = list.Version
 	scope := choice.ListChanges
-	if p.Full {
+	if list.Full {
 		scope = choice.ListFull
 	}
 	c.handler.Listed(scope, listed, addrs)
 	return true
 }
 
+// get makes one HTTP request and decodes the list in its response.
 func (c *Client) get(ctx context.Context, query string) (*Page, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.listURL+query, nil)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := c.http.Do(r)
+	response, err := c.http.Do(r)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return nil, errors.New(answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return nil, errors.New(response.Status)
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxListBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes))
 	if err != nil {
 		return nil, err
 	}
-	p := &Page{}
-	return p, json.Unmarshal(body, p)
+	list := &Page{}
+	return list, json.Unmarshal(body, list)
 }
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -18,26 +18,27 @@
 	"gorsewell/internal/exchange"
 )
 
-// fakeDiscovery is a discovery in virtual time: a network of its own, and what it does to calls until it is well.
+// fakeDiscovery is a discovery on a network of its own, in the virtual time of a synctest bubble. It can simulate a fault.
 type fakeDiscovery struct {
 	mu           sync.Mutex
-	fault        func(w http.ResponseWriter, r *http.Request) // what is done to a call; nil once it is well
-	dialFault    func(ctx context.Context) error              // what is done to new connections until then; nil: they come up
-	version      int                                          // of the list: 2 once the server drains
-	faultStarted chan struct{}                                // closed when it falls ill: open watches too
-	changed      chan struct{}
+	fault        func(w http.ResponseWriter, r *http.Request) // handles calls during a fault; nil without one
+	dialFault    func(ctx context.Context) error              // called for new connections during a fault; nil: they succeed
+	version      int                                          // of the list: 1 at first, 2 once the server drains
+	faultStarted chan struct{}                                // closed when the fault starts, which affects open watches too
+	changed      chan struct{}                                // closed when the list changes
 	incoming     chan net.Conn
 	closed       chan struct{}
 
-	callTime   time.Duration          // that a queued call takes; 0: none is queued
-	busyUntil  time.Time              // when those queued so far are done
-	watchEnded map[net.Conn]time.Time // when the last watch on a connection was answered
+	callTime   time.Duration          // time that the handling of a queued call takes; 0: calls are not queued
+	busyUntil  time.Time              // when all calls queued so far have been handled
+	watchEnded map[net.Conn]time.Time // when the last call of a watch on a connection was answered
 }
 
+// connKey is the context key of a call's connection.
 type connKey struct{}
 
-// waitTurn has a call wait its turn, unless it goes on with a watch; false where that takes too long. A call whose caller
-// does not wait for it takes its time all the same.
+// waitTurn waits for a call's turn in the queue. A call that continues a watch is not queued. The result is false if the queue
+// is too long. A call also takes its time if its caller no longer waits for it.
 func (s *fakeDiscovery) waitTurn(r *http.Request) bool {
 	c := r.Context().Value(connKey{}).(net.Conn)
 	s.mu.Lock()
@@ -69,50 +70,52 @@
 func (s *fakeDiscovery) Close() error   { close(s.closed); return nil }
 func (s *fakeDiscovery) Addr() net.Addr { return &net.TCPAddr{} }
 
+// dial is the DialContext function of the clients.
 func (s *fakeDiscovery) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	s.mu.Lock()
-	dials := s.dialFault
+	dialFault := s.dialFault
 	s.mu.Unlock()
-	if dials != nil {
-		if err := dials(ctx); err != nil {
+	if dialFault != nil {
+		if err := dialFault(ctx); err != nil {
 			return nil, err
 		}
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	select {
-	case s.incoming <- far:
-		return near, nil
-	case <-s.closed: // nobody accepts any more
+	case s.incoming <- server:
+		return client, nil
+	case <-s.closed: // no more connections are accepted
 		return nil, net.ErrClosed
 	}
 }
 
+// ServeHTTP answers with the list, for a watch once that has changed or the wait is over.
 func (s *fakeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
-	ill, changed := s.fault, s.changed
+	fault, changed := s.fault, s.changed
 	s.mu.Unlock()
-	if ill != nil {
-		ill(w, r)
+	if fault != nil {
+		fault(w, r)
 		return
 	}
 	if !s.waitTurn(r) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	struck := s.faultStarted
+	faultStarted := s.faultStarted
 	select {
-	case <-struck: // it has been ill and is well again
-		struck = nil
+	case <-faultStarted: // the fault is over already
+		faultStarted = nil
 	default:
 	}
 	if ms, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms")); ms > 0 && r.URL.Query().Get("since") == s.currentVersion() {
 		select {
 		case <-changed:
-		case <-struck:
+		case <-faultStarted:
 			s.mu.Lock()
-			ill := s.fault
+			fault := s.fault
 			s.mu.Unlock()
-			ill(w, r)
+			fault(w, r)
 			return
 		case <-time.After(time.Duration(ms) * time.Millisecond):
 		case <-r.Context().Done():
@@ -139,16 +142,17 @@
 		map[int]string{1: "in_service", 2: "terminating"}[s.version])
 }
 
-// recoverAndDrain ends the illness. Calls that were lost stay lost. The server drains from then on.
+// recoverAndDrain ends the fault and makes the server drain. Calls that were lost during the fault stay lost.
 func (s *fakeDiscovery) recoverAndDrain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault, s.dialFault, s.version = nil, nil, 2
 	close(s.changed)
-	s.changed = make(chan struct{}) // there are no more
+	s.changed = make(chan struct{}) // there are no further changes
 }
 
-// testGateway is the module and what drives it, with no servers to speak to. It notes when it was told that the server drains.
+// testGateway is a decision module with its Dispatch and a server side that does nothing. It records when it learned that the
+// server drains.
 type testGateway struct {
 	*dispatch.Dispatch
 	drainSeen chan time.Time
@@ -172,7 +176,7 @@
 func (*testGateway) Locate(map[uint32]string)                              {}
 func (*testGateway) Forget(uint32)                                         {}
 
-// newServer makes the source ready.
+// newServer initialises the discovery and returns an HTTP server for it.
 func (s *fakeDiscovery) newServer() *http.Server {
 	s.version, s.faultStarted, s.changed, s.watchEnded = 1, make(chan struct{}), make(chan struct{}), map[net.Conn]time.Time{}
 	s.incoming, s.closed = make(chan net.Conn), make(chan struct{})
@@ -181,7 +185,7 @@
 	}}
 }
 
-// newGateway makes one that asks this source.
+// newGateway returns a gateway that uses this discovery, and its client.
 func (s *fakeDiscovery) newGateway(seed uint64, pushed bool) (*testGateway, *Client) {
 	settings := &deployment.Told{}
 	settings.ListAsked, settings.DrainGrace, settings.Seed, settings.Round = !pushed, drainGrace, seed, 10*time.Millisecond
@@ -196,67 +200,68 @@
 	return g, c
 }
 
-// propagationDelay is how long after its change, made when discovery is well again, a gateway learns of it. Discovery falls ill a
-// while after the gateway has started, and is ill for some time; with moves the gateway is led there by a new configuration then.
-func propagationDelay(t *testing.T, s *fakeDiscovery, fallsIll, illFor time.Duration, moves, pushed bool) (took time.Duration) {
+// propagationDelay returns the time from a change of the list, made when a fault of discovery ends, until a gateway learns of it. The
+// fault starts at faultAt after the gateway's start and lasts for faultTime. If moves is true, the gateway is moved to another
+// address of discovery when the fault ends.
+func propagationDelay(t *testing.T, s *fakeDiscovery, faultAt, faultTime time.Duration, moves, pushed bool) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		ill, dials := s.fault, s.dialFault
+		fault, dialFault := s.fault, s.dialFault
 		s.fault, s.dialFault = nil, nil
 		server := s.newServer()
-		var waits sync.WaitGroup
-		waits.Go(func() { server.Serve(s) })
+		var running sync.WaitGroup
+		running.Go(func() { server.Serve(s) })
 		ctx, cancel := context.WithCancel(t.Context())
-		g, c := s.newGateway(uint64(fallsIll), pushed)
-		waits.Go(func() { c.Run(ctx) })
-		waits.Go(func() { g.Run(ctx) })
-		time.Sleep(fallsIll)
+		g, c := s.newGateway(uint64(faultAt), pushed)
+		running.Go(func() { c.Run(ctx) })
+		running.Go(func() { g.Run(ctx) })
+		time.Sleep(faultAt)
 		s.mu.Lock()
-		s.fault, s.dialFault, s.changed = ill, dials, make(chan struct{}) // what is struck hears of no change
+		s.fault, s.dialFault, s.changed = fault, dialFault, make(chan struct{}) // watches open at the start of the fault get no change
 		close(s.faultStarted)
 		s.mu.Unlock()
-		time.Sleep(illFor)
+		time.Sleep(faultTime)
 		if moves {
 			c.Move("10.0.0.10:1")
 		}
 		s.recoverAndDrain()
-		well := time.Now()
+		changedAt := time.Now()
 		select {
 		case at := <-g.drainSeen:
-			took = at.Sub(well)
+			took = at.Sub(changedAt)
 		case <-time.After(time.Minute):
 			took = time.Minute
 		}
 		cancel()
 		server.Close()
-		waits.Wait()
-		time.Sleep(time.Minute) // until calls that nobody waits for any more have ended
+		running.Wait()
+		time.Sleep(time.Minute) // until abandoned calls have ended
 	})
 	return took
 }
 
 const drainGrace = 250 * time.Millisecond
 
-// Where lists are pushed, what discovery has when it comes back counts as told at once.
-func TestAPushedChangeIsKnownWithinTheGraceOnceDiscoveryIsBack(t *testing.T) {
+// If lists are pushed, gateways are expected to know at once what discovery knows when it becomes reachable again.
+func TestPushedChangeIsKnownWithinDrainGraceAfterFault(t *testing.T) {
 	refuse := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
-	for _, dials := range []func(context.Context) error{nil, func(context.Context) error { return net.ErrClosed }} {
-		for fallsIll := 100 * time.Millisecond; fallsIll < 5*time.Second; fallsIll += 530 * time.Millisecond {
-			if took := propagationDelay(t, &fakeDiscovery{fault: refuse, dialFault: dials}, fallsIll, 20*time.Second, false, true); took >= drainGrace {
-				t.Errorf("ill after %v: told after %v", fallsIll, took)
+	for _, dialFault := range []func(context.Context) error{nil, func(context.Context) error { return net.ErrClosed }} {
+		for faultAt := 100 * time.Millisecond; faultAt < 5*time.Second; faultAt += 530 * time.Millisecond {
+			if took := propagationDelay(t, &fakeDiscovery{fault: refuse, dialFault: dialFault}, faultAt, 20*time.Second, false, true); took >= drainGrace {
+				t.Errorf("fault after %v: got the change after %v, want it within the drain grace", faultAt, took)
 			}
 		}
 	}
 }
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever failed before. Each illness strikes at
-// different moments of a watch and of the backoff, and lasts for different times.
-func TestAChangeIsKnownInTimeWhateverFailedBefore(t *testing.T) {
+// A gateway must know a change within 6 s after discovery had it and could be reached, whatever failed before. Each fault starts
+// at different moments of a watch and of the backoff, and lasts for different times.
+func TestChangeIsKnownWithinMaxPropagationDelayAfterFault(t *testing.T) {
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	lost := func(ctx context.Context) error {
+	neverConnects := func(ctx context.Context) error {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	begun := func(w http.ResponseWriter, length string) {
+	beginBody := func(w http.ResponseWriter, length string) {
 		if length != "" {
 			w.Header().Set("Content-Length", length)
 		}
@@ -264,69 +269,69 @@
 		w.(http.Flusher).Flush()
 	}
 	for name, c := range map[string]struct {
-		ill   func(w http.ResponseWriter, r *http.Request)
-		dials func(ctx context.Context) error
+		fault     func(w http.ResponseWriter, r *http.Request)
+		dialFault func(ctx context.Context) error
 	}{
-		"silent":                     {ill: silent},
-		"refuses":                    {ill: func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }},
-		"refuses late":               {ill: func(w http.ResponseWriter, _ *http.Request) { time.Sleep(time.Second); w.WriteHeader(500) }},
-		"resets":                     {ill: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
-		"cut inside the body":        {ill: func(w http.ResponseWriter, _ *http.Request) { begun(w, "400"); panic(http.ErrAbortHandler) }},
-		"cut, with no length":        {ill: func(w http.ResponseWriter, _ *http.Request) { begun(w, ""); panic(http.ErrAbortHandler) }},
-		"falls silent in the body":   {ill: func(w http.ResponseWriter, r *http.Request) { begun(w, "400"); silent(w, r) }},
-		"nobody answers a new call":  {ill: silent, dials: lost},
-		"calls are refused outright": {ill: silent, dials: func(context.Context) error { return net.ErrClosed }},
+		"no response":                   {fault: silent},
+		"error status":                  {fault: func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }},
+		"late error status":             {fault: func(w http.ResponseWriter, _ *http.Request) { time.Sleep(time.Second); w.WriteHeader(500) }},
+		"connection reset":              {fault: func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }},
+		"body truncated":                {fault: func(w http.ResponseWriter, _ *http.Request) { beginBody(w, "400"); panic(http.ErrAbortHandler) }},
+		"body without length truncated": {fault: func(w http.ResponseWriter, _ *http.Request) { beginBody(w, ""); panic(http.ErrAbortHandler) }},
+		"body never ends":               {fault: func(w http.ResponseWriter, r *http.Request) { beginBody(w, "400"); silent(w, r) }},
+		"new connections hang":          {fault: silent, dialFault: neverConnects},
+		"new connections are refused":   {fault: silent, dialFault: func(context.Context) error { return net.ErrClosed }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			worst := time.Duration(0)
-			for i, illFor := range []time.Duration{time.Millisecond, 2900 * time.Millisecond, 20 * time.Second} {
-				for fallsIll := 100 * time.Millisecond; fallsIll < 5*time.Second; fallsIll += 530 * time.Millisecond {
-					moves := i == 1 && fallsIll < 2*time.Second
-					took := propagationDelay(t, &fakeDiscovery{fault: c.ill, dialFault: c.dials}, fallsIll, illFor, moves, false)
+			for i, faultTime := range []time.Duration{time.Millisecond, 2900 * time.Millisecond, 20 * time.Second} {
+				for faultAt := 100 * time.Millisecond; faultAt < 5*time.Second; faultAt += 530 * time.Millisecond {
+					moves := i == 1 && faultAt < 2*time.Second
+					took := propagationDelay(t, &fakeDiscovery{fault: c.fault, dialFault: c.dialFault}, faultAt, faultTime, moves, false)
 					if worst = max(worst, took); took >= ToldWithin {
-						t.Errorf("ill after %v for %v, moves %v: told after %v", fallsIll, illFor, moves, took)
+						t.Errorf("fault after %v for %v, moves %v: got the change after %v, want it within 6s", faultAt, faultTime, moves, took)
 					}
 				}
 			}
-			t.Logf("told after %v at the latest", worst)
+			t.Logf("the longest propagation delay is %v", worst)
 		})
 	}
 }
 
-// Discovery handles calls one after another and refuses those that would wait for more than two seconds. Gateways that start
-// together ask for more than that: each has its watch all the same within some seconds, and hears of a change at once.
-func TestGatewaysThatStartTogetherAreAllToldByABusyDiscovery(t *testing.T) {
+// Discovery handles calls one after another and refuses those that would have to wait for more than 2 s. Gateways that start
+// together make more calls than that. Even so, each has a watch within some seconds, and gets a change at once.
+func TestGatewaysStartedTogetherAllGetWatchAtBusyDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeDiscovery{callTime: 160 * time.Millisecond}
 		server := s.newServer()
-		var waits sync.WaitGroup
-		waits.Go(func() { server.Serve(s) })
+		var running sync.WaitGroup
+		running.Go(func() { server.Serve(s) })
 		ctx, cancel := context.WithCancel(t.Context())
-		var all []*testGateway
+		var gateways []*testGateway
 		for seed := range uint64(32) {
 			g, c := s.newGateway(seed, false)
-			all = append(all, g)
-			waits.Go(func() { c.Run(ctx) })
-			waits.Go(func() { g.Run(ctx) })
+			gateways = append(gateways, g)
+			running.Go(func() { c.Run(ctx) })
+			running.Go(func() { g.Run(ctx) })
 		}
 		time.Sleep(20 * time.Second)
 		s.recoverAndDrain()
-		well := time.Now()
+		changedAt := time.Now()
 		time.Sleep(ToldWithin)
-		for i, g := range all {
+		for i, g := range gateways {
 			select {
 			case at := <-g.drainSeen:
-				if took := at.Sub(well); took > 100*time.Millisecond {
-					t.Errorf("gateway %d was told after %v: it had no watch", i, took)
+				if took := at.Sub(changedAt); took > 100*time.Millisecond {
+					t.Errorf("gateway %d: got the change after %v, want at most 100ms, as from an open watch", i, took)
 				}
 			default:
-				t.Errorf("gateway %d was never told", i)
+				t.Errorf("gateway %d: got no change within 6s, want it within 100ms", i)
 			}
 		}
 		cancel()
 		server.Close()
-		waits.Wait()
+		running.Wait()
 		time.Sleep(time.Minute)
 	})
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch runs the decision module: it owns the gateway, its timers and the table of exchanges, turns
-// what happens into calls of the module and carries out what the module wants.
+// Package dispatch runs the decision module, package choice. It owns the module's Gateway, its timers and the table of
+// open exchanges, turns events into calls of the module, and carries out the actions that the module requests.
 package dispatch
 
 import (
@@ -14,7 +14,8 @@
 	"gorsewell/internal/invariant"
 )
 
-// Servers is the server side as the module needs it. No call may block or call back.
+// Servers is the server side of the gateway. Its methods are called with the Dispatch's mutex held: they must neither
+// block nor call the Dispatch.
 type Servers interface {
 	Send(x *exchange.Exchange, number uint8, server uint32, by time.Duration)
 	Withdraw(server uint32)
@@ -25,20 +26,21 @@
 	Forget(server uint32)
 }
 
-// Discovery is the source of lists as the module needs it. No call may block or call back.
+// Discovery is the source of server lists. Its methods are called with the Dispatch's mutex held: they must neither
+// block nor call the Dispatch.
 type Discovery interface {
 	Ask()
 	Watch()
 	Forget(server uint32)
 }
 
-// Sharing passes on what this gateway sees of servers and takes what others see, by Dispatch.Rumour. No call may block
-// or call back.
+// Gossip shares this gateway's observations of servers with other gateways, and reports theirs by Dispatch.Rumour. Its
+// methods are called with the Dispatch's mutex held: they must neither block nor call the Dispatch.
 type Sharing interface {
 	Trouble(server uint32, t choice.Trouble)
 	Acked(server uint32, sentAt time.Duration)
 	Forget(server uint32)
-	Listed(addrs map[uint32]string) // servers that the list has named; Forget follows for those that go
+	Listed(addrs map[uint32]string) // addresses of servers on the list; Forget is called for each one that is removed
 }
 
 // Dispatch is the host of one gateway's decision module.
@@ -46,61 +48,61 @@
 	clock     exchange.Clock
 	servers   Servers
 	discovery Discovery
-	gossip    Sharing // or nil
+	gossip    Sharing // nil if gossip is disabled
 	counts    *counters.Set
 
-	mu          sync.Mutex // around every call of the module, and all below
+	mu          sync.Mutex // guards every call of the module, and the fields below
 	gateway     *choice.Gateway
 	table       map[uint32]*entry
-	lastID      uint32        // id handed out
-	lastTime    time.Duration // the newest time told to the module
+	lastID      uint32        // the ID assigned most recently
+	lastTime    time.Duration // the latest time passed to the module
 	timers      map[uint32]time.Duration
-	nextWake    time.Duration // when Run looks at the timers again
-	wakeEarlier chan struct{} // a timer was set for before that
+	nextWake    time.Duration // when Run checks the timers again
+	wakeEarlier chan struct{} // signals that a timer was set to fire before nextWake
 }
 
-// entry is an exchange with the number of sends made for it.
+// entry is an open exchange and the number of sends made for it.
 type entry struct {
 	*exchange.Exchange
 	sends uint8
 }
 
-// New makes the module's host. Start follows once all parts are there.
+// New returns a Dispatch that has to be started with Start once the other components exist.
 func New(clock exchange.Clock, counts *counters.Set) *Dispatch {
 	return &Dispatch{clock: clock, counts: counts, table: map[uint32]*entry{},
 		timers: map[uint32]time.Duration{}, wakeEarlier: make(chan struct{}, 1)}
 }
 
-// Start makes the module and hands it the list that was known at the start.
-func (d *Dispatch) Start(s Servers, l Discovery, told *choice.Deployment, known []choice.Listed, addrs map[uint32]string) {
+// Start creates the decision module and passes it the server list that was known at startup.
+func (d *Dispatch) Start(s Servers, l Discovery, settings *choice.Deployment, known []choice.Listed, addrs map[uint32]string) {
 	d.mu.Lock()
 	d.servers, d.discovery = s, l
-	d.gateway = choice.New(d, told)
+	d.gateway = choice.New(d, settings)
 	d.mu.Unlock()
 	d.Listed(choice.ListCached, known, addrs)
 }
 
-// Run calls the module's timers until the context ends.
+// Run fires the module's timers until the context is cancelled.
 func (d *Dispatch) Run(ctx context.Context) error {
-	wake := time.NewTimer(0)
-	defer wake.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-d.wakeEarlier:
-		case <-wake.C:
+		case <-timer.C:
 		}
-		wake.Reset(d.tick())
+		timer.Reset(d.tick())
 	}
 }
 
-// tick calls the timers that are due and returns how long the next one is off.
+// tick fires the timers that are due and returns the time until the next one.
 func (d *Dispatch) tick() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	d.nextWake = now // what is set from here on needs no waking
+	d.nextWake = now // timers set during this call do not have to signal wakeEarlier
 	var due []uint32
 	for id, at := range d.timers {
 		if at <= now {
@@ -118,15 +120,15 @@
 	return max(0, d.nextWake-d.clock.Now())
 }
 
-// now is the time of the event being handled. The mutex is held.
+// now returns the time of the event being handled. The mutex has to be held.
 func (d *Dispatch) now() time.Duration {
 	now := d.clock.Now()
-	invariant.Check(now >= d.lastTime, "the module's time never goes back")
+	invariant.Check(now >= d.lastTime, "the time passed to the module does not go back")
 	d.lastTime = now
 	return now
 }
 
-// Take hands an op over; its time counts from here.
+// Submit passes a new op to the module. The op's latency is measured from this call.
 func (d *Dispatch) Take(x *exchange.Exchange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,14 +141,14 @@
 	d.table[x.ID] = &entry{Exchange: x}
 	d.counts.Taken.Add(1)
 	d.counts.Held.Add(1)
-	ago := time.Duration(0) // no last write is told
+	writeAge := time.Duration(0) // 0: the session's last write is not known
 	if x.After != choice.LongPast {
-		ago = max(1, now-x.After)
+		writeAge = max(1, now-x.After)
 	}
-	d.gateway.Op(now, x.ID, x.OpType, x.Session, x.Due, x.Group, ago, x.Again)
+	d.gateway.Op(now, x.ID, x.OpType, x.Session, x.Due, x.Group, writeAge, x.Again)
 }
 
-// Left says that an op's client has gone.
+// ClientLeft reports that the client of an op has disconnected.
 func (d *Dispatch) Left(x *exchange.Exchange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,22 +158,22 @@
 	}
 }
 
-// Stop gives up what is held: the process is about to end, and to be told so is better than to be cut off.
+// Stop gives up all pending ops before the process exits: a final reply is better for a client than a closed connection.
 func (d *Dispatch) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.gateway.Stop(d.now())
 }
 
-// finish gives an op its end, once.
-func (d *Dispatch) finish(x *exchange.Exchange, how exchange.Outcome) {
-	invariant.Check(x.Outcome == exchange.Held, "an op ends once")
+// finish sets the outcome of a pending op and releases whoever waits for it.
+func (d *Dispatch) finish(x *exchange.Exchange, outcome exchange.Outcome) {
+	invariant.Check(x.Outcome == exchange.Held, "an op ends exactly once")
 	if x.Outcome != exchange.Held {
 		return
 	}
-	x.Outcome = how
+	x.Outcome = outcome
 	d.counts.Held.Add(-1)
-	switch how {
+	switch outcome {
 	case exchange.Acked:
 		d.counts.Acked.Add(1)
 	case exchange.BusyReplied:
@@ -185,19 +187,19 @@
 	d.removeIfDone(x)
 }
 
-// removeIfDone drops an exchange of which nothing more can come.
+// removeIfDone removes an exchange from the table once its op has ended and no send is in flight.
 func (d *Dispatch) removeIfDone(x *exchange.Exchange) {
 	if x.Outcome != exchange.Held && !x.Out {
 		delete(d.table, x.ID)
 	}
 }
 
-// SendEnded takes the one result of a send. The first ack goes to the client.
+// SendEnded handles the result of a send; it is called exactly once for each send. An ack ends the op if it is pending.
 func (d *Dispatch) SendEnded(x *exchange.Exchange, number uint8, server uint32, e exchange.Ended) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	invariant.Check(x.Out, "a send ends once")
+	invariant.Check(x.Out, "a send ends exactly once")
 	x.Out = false
 	if e.Result == choice.Acked && d.gossip != nil && e.Took <= x.Target {
 		d.gossip.Acked(server, now-e.Took)
@@ -211,7 +213,7 @@
 	d.gateway.Answer(now, x.ID, number, server, e.Result, e.Took, x.Outcome != exchange.Held, e.Role, e.Position)
 }
 
-// ProbeEnded takes the one result of a probe.
+// ProbeEnded handles the result of a probe; it is called exactly once for each probe.
 func (d *Dispatch) ProbeEnded(server uint32, e exchange.Ended) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -226,18 +228,18 @@
 	}
 }
 
-// Share sets up sharing with other gateways. It is called before Start, or not at all.
-func (d *Dispatch) Share(s Sharing) { d.gossip = s }
+// SetGossip enables gossip with other gateways. It must be called before Start, if at all.
+func (d *Dispatch) Share(g Sharing) { d.gossip = g }
 
-// Rumour hands over how many other gateways, weighed, say that a server is in trouble.
+// Rumour passes the module the weighted number of other gateways that report a server as being in trouble.
 func (d *Dispatch) Rumour(server uint32, weight float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.gateway.Rumour(d.now(), server, weight)
 }
 
-// Listed hands over what discovery tells: addresses first, as the module may send at once, and under the mutex, as it may
-// forget a server that is listed again.
+// HandleList passes a list from discovery on. The addresses are set first, as the module may send at once. All of it is done
+// with the mutex held, as the module may forget a server that this list names again.
 func (d *Dispatch) Listed(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -248,10 +250,10 @@
 	}
 }
 
-// Send implements choice.Host, as do all methods below.
+// Send implements choice.Host, as do all methods below. The module calls them with the mutex held.
 func (d *Dispatch) Send(op, server uint32, by time.Duration) {
 	x := d.table[op]
-	invariant.Check(x != nil && x.Outcome == exchange.Held && !x.Out, "a send is for a held op with none out")
+	invariant.Check(x != nil && x.Outcome == exchange.Held && !x.Out, "a send is for a pending op that has no send in flight")
 	if x == nil {
 		return
 	}
@@ -303,7 +305,7 @@
 	}
 }
 
-// Trouble hands what the gateway has seen of a server to those who share it with others, if there are any.
+// Trouble reports this gateway's observation of a server to the other gateways if gossip is enabled.
 func (d *Dispatch) Trouble(server uint32, t choice.Trouble) {
 	if d.gossip != nil {
 		d.gossip.Trouble(server, t)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -11,7 +11,7 @@
 	"gorsewell/internal/standin"
 )
 
-// fakeServers notes what the module wants; nothing comes back unless the test says so.
+// fakeServers records the calls that the module makes. A send or probe has a result only if the test reports one.
 type fakeServers struct {
 	sent      []sendCall
 	cancelled int
@@ -39,6 +39,7 @@
 func (s *fakeServers) Locate(addrs map[uint32]string)   { s.located = addrs }
 func (s *fakeServers) Forget(uint32)                    { s.forgotten++ }
 
+// fakeDiscovery counts the calls that the module makes.
 type fakeDiscovery struct{ asked, watched, forgotten int }
 
 func (l *fakeDiscovery) Ask()   { l.asked++ }
@@ -48,115 +49,117 @@
 
 const primary, replica = 1, 2
 
-// startDispatch is a dispatch with one group of a primary and a replica, and three op types: a read, a write and a read
+// startDispatch returns a Dispatch with one group of a primary and a replica, and three op types: a read, a write and a read
 // that must see its session's last write.
 func startDispatch(t *testing.T) (*Dispatch, *fakeServers, *fakeDiscovery) {
 	t.Helper()
-	told := &choice.Deployment{Gateways: 1, Round: 5 * time.Millisecond, ListAsked: true, AskWithin: 10 * time.Second,
+	settings := &choice.Deployment{Gateways: 1, Round: 5 * time.Millisecond, ListAsked: true, AskWithin: 10 * time.Second,
 		MaxSends: 8, Cancels: true, TellsPosition: true, MarksCarried: true, OpTypes: []choice.OpType{
 			{Effect: choice.Retryable, Need: choice.Any, Target: 500 * time.Millisecond, Timeout: time.Second, Value: 1},
 			{Need: choice.Write, Target: 500 * time.Millisecond, Timeout: time.Second, Value: 1, LateValue: 0.5},
 			{Effect: choice.Retryable, Need: choice.Session, Target: 500 * time.Millisecond, Timeout: time.Second, Value: 1},
 		}}
 	d, s, l := New(exchange.StartClock(), &counters.Set{}), &fakeServers{}, &fakeDiscovery{}
-	d.Start(s, l, told, []choice.Listed{
+	d.Start(s, l, settings, []choice.Listed{
 		{ID: primary, State: choice.Ready, Primary: true, Started: choice.LongPast},
 		{ID: replica, State: choice.Ready, Started: choice.LongPast}}, nil)
 	return d, s, l
 }
 
-func submitOp(d *Dispatch, kind uint8, within time.Duration) *exchange.Exchange {
-	x := &exchange.Exchange{OpType: kind, Due: d.clock.Now() + within, After: choice.LongPast, Done: make(chan struct{})}
+func submitOp(d *Dispatch, opType uint8, timeout time.Duration) *exchange.Exchange {
+	x := &exchange.Exchange{OpType: opType, Due: d.clock.Now() + timeout, After: choice.LongPast, Done: make(chan struct{})}
 	d.Take(x)
 	return x
 }
 
-func TestAnOpGoesOutAndItsAckComesBack(t *testing.T) {
+func TestAckOfSendEndsOp(t *testing.T) {
 	d, s, l := startDispatch(t)
 	read, write := submitOp(d, 0, time.Second), submitOp(d, 1, time.Second)
 	if len(s.sent) != 2 || s.sent[0].server != replica || s.sent[1].server != primary || s.sent[0].by < read.Due || l.watched != 1 {
-		t.Fatalf("%+v, %+v", s, l)
+		t.Fatalf("got calls %+v and %+v, want the read sent to the replica, the write to the primary, and one watch", s, l)
 	}
 	d.SendEnded(read, 0, replica, exchange.Ended{Result: choice.Acked, Position: choice.LongPast, Answer: []byte("row")})
 	<-read.Done
 	if read.Outcome != exchange.Acked || string(read.Answer) != "row" || write.Over() {
-		t.Errorf("%+v, %+v", read, write)
+		t.Errorf("got read %+v and write %+v, want an acked read with its answer and a pending write", read, write)
 	}
 }
 
-func TestASendThatProvedNothingIsMadeAgain(t *testing.T) {
+func TestSendThatNeverRanIsRetried(t *testing.T) {
 	d, s, _ := startDispatch(t)
 	x := submitOp(d, 0, time.Second)
 	d.SendEnded(x, 0, replica, exchange.Ended{Result: choice.NoConnection, Position: choice.LongPast})
-	for range 100 { // the module waits a little before it tries again
+	for range 100 { // the module waits for a short time before it retries
 		time.Sleep(5 * time.Millisecond)
 		if d.tick(); len(s.sent) > 1 {
 			break
 		}
 	}
 	if len(s.sent) != 2 || s.sent[1].number != 1 || x.Over() {
-		t.Errorf("%+v", s.sent)
+		t.Errorf("got sends %+v, want a second one while the op is pending", s.sent)
 	}
 }
 
-func TestAWriteThatMayHaveRunIsAnError(t *testing.T) {
+func TestNonRetryableOpEndsInErrorIfItMayHaveRun(t *testing.T) {
 	d, s, _ := startDispatch(t)
 	x := submitOp(d, 1, time.Second)
 	d.SendEnded(x, 0, primary, exchange.Ended{Result: choice.Reset, Position: choice.LongPast})
 	if x.Outcome != exchange.Errored || len(s.sent) != 1 {
-		t.Errorf("%+v", x)
+		t.Errorf("got %+v, want an error after one send", x)
 	}
 }
 
-func TestAnOpTooLateToSendIsBusyReplied(t *testing.T) {
+func TestOpPastItsDeadlineGetsBusyReply(t *testing.T) {
 	d, s, _ := startDispatch(t)
 	if x := submitOp(d, 0, 0); x.Outcome != exchange.BusyReplied || len(s.sent) != 0 {
-		t.Errorf("%+v", x)
+		t.Errorf("got %+v, want a busy reply without a send", x)
 	}
 }
 
-func TestAStopEndsWhatIsHeldAndWhatIsOut(t *testing.T) {
+func TestStopEndsPendingOpsWithAndWithoutSends(t *testing.T) {
 	d, s, _ := startDispatch(t)
-	write, out := submitOp(d, 1, time.Second), submitOp(d, 0, time.Second)
+	write, read := submitOp(d, 1, time.Second), submitOp(d, 0, time.Second)
 	s.withdrawn = 0
 	d.Listed(choice.ListChanges, []choice.Listed{{ID: primary, State: choice.Draining, Started: choice.LongPast},
 		{ID: replica, State: choice.Draining, Started: choice.LongPast}}, nil)
-	held := submitOp(d, 1, time.Second)
-	if s.withdrawn != 2 || held.Over() || out.Over() || write.Over() {
-		t.Errorf("%d withdrawn, %+v, %+v, %+v", s.withdrawn, held, out, write)
+	unsent := submitOp(d, 1, time.Second)
+	if s.withdrawn != 2 || unsent.Over() || read.Over() || write.Over() {
+		t.Errorf("got %d withdrawals, want 2; ops %+v, %+v, %+v, want all pending", s.withdrawn, unsent, read, write)
 	}
 	d.Stop()
-	if held.Outcome != exchange.BusyReplied || out.Outcome != exchange.BusyReplied || write.Outcome != exchange.Errored {
-		t.Errorf("held %d, a read out %d, a write out %d", held.Outcome, out.Outcome, write.Outcome)
+	if unsent.Outcome != exchange.BusyReplied || read.Outcome != exchange.BusyReplied || write.Outcome != exchange.Errored {
+		t.Errorf("got outcomes %d without a send, %d of a read in flight, %d of a write in flight; want busy replies and an error",
+			unsent.Outcome, read.Outcome, write.Outcome)
 	}
 }
 
-func TestWhatIsTakenEqualsWhatEnds(t *testing.T) {
+func TestCountersAddUpOverAllOutcomes(t *testing.T) {
 	d, s, _ := startDispatch(t)
 	if standin.Breaks(func() { exerciseAllOutcomes(t, d, s) }) {
-		t.Error("an assertion broke")
+		t.Error("an assertion failed, want none")
 	}
 }
 
+// exerciseAllOutcomes ends ops in every way and checks the counters.
 func exerciseAllOutcomes(t *testing.T, d *Dispatch, s *fakeServers) {
 	left := submitOp(d, 0, time.Second)
 	d.Left(left)
-	d.Left(left) // once is enough
+	d.Left(left) // a second call has no effect
 	acked, errored := submitOp(d, 0, time.Second), submitOp(d, 1, time.Second)
 	d.SendEnded(acked, 0, replica, exchange.Ended{Result: choice.Acked, Position: choice.LongPast})
-	d.Left(acked) // crosses its answer
+	d.Left(acked) // the client leaves after the op has ended
 	d.SendEnded(errored, 0, primary, exchange.Ended{Result: choice.TimedOut, Position: choice.LongPast})
 	submitOp(d, 0, 0)
-	submitOp(d, 1, time.Second)                                                                    // held
-	d.SendEnded(left, 0, replica, exchange.Ended{Result: choice.Acked, Position: choice.LongPast}) // nobody waits for it
+	submitOp(d, 1, time.Second)                                                                    // stays pending
+	d.SendEnded(left, 0, replica, exchange.Ended{Result: choice.Acked, Position: choice.LongPast}) // the op has ended already
 	c := d.counts
 	if c.Taken.Load() != 5 || c.Acked.Load() != 1 || c.Errored.Load() != 1 || c.BusyReplied.Load() != 1 || c.Left.Load() != 1 ||
 		c.Held.Load() != 1 || s.cancelled != 1 || len(d.table) != 1 {
-		t.Errorf("%s; %d cancelled, %d in the table", c, s.cancelled, len(d.table))
+		t.Errorf("got %s; %d cancelled, want 1; %d in the table, want 1", c, s.cancelled, len(d.table))
 	}
 }
 
-func TestAServerThatIsGoneIsForgottenEverywhere(t *testing.T) {
+func TestRemovedServerIsForgottenByServersAndDiscovery(t *testing.T) {
 	d, s, l := startDispatch(t)
 	d.Listed(choice.ListChanges, []choice.Listed{{ID: replica, State: choice.Gone}, {ID: 3, State: choice.Ready}},
 		map[uint32]string{3: "127.0.0.1:5"})
@@ -164,11 +167,11 @@
 	d.gateway.Timer(d.now()+time.Second, 0)
 	d.mu.Unlock()
 	if s.forgotten != 1 || l.forgotten != 1 || s.located[3] == "" {
-		t.Errorf("%+v, %+v", s, l)
+		t.Errorf("got calls %+v and %+v, want one Forget each and the new server's address", s, l)
 	}
 }
 
-func TestAHeldOpIsGivenUpByATimer(t *testing.T) {
+func TestTimerEndsPendingOp(t *testing.T) {
 	d, s, _ := startDispatch(t)
 	d.Listed(choice.ListChanges, []choice.Listed{{ID: primary, State: choice.Draining}, {ID: replica, State: choice.Draining}}, nil)
 	x := submitOp(d, 1, 100*time.Millisecond)
@@ -177,7 +180,7 @@
 	go func() { ended <- d.Run(ctx) }()
 	<-x.Done
 	if now := d.clock.Now(); x.Outcome != exchange.BusyReplied || now > x.Due || len(s.sent) != 0 {
-		t.Errorf("%d at %v, due at %v", x.Outcome, now, x.Due)
+		t.Errorf("got outcome %d at %v, want a busy reply by %v without a send", x.Outcome, now, x.Due)
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -185,28 +188,28 @@
 	}
 }
 
-func TestWhatMustHoldIsAsserted(t *testing.T) {
-	nothing := exchange.Ended{Result: choice.TimedOut, Position: choice.LongPast}
+func TestAssertionsFailOnMisuse(t *testing.T) {
+	timedOut := exchange.Ended{Result: choice.TimedOut, Position: choice.LongPast}
 	for name, f := range map[string]func(d *Dispatch, x *exchange.Exchange){
-		"a second result": func(d *Dispatch, x *exchange.Exchange) {
-			d.SendEnded(x, 0, replica, nothing)
+		"second result of a send": func(d *Dispatch, x *exchange.Exchange) {
+			d.SendEnded(x, 0, replica, timedOut)
 			x.Out = false
-			d.SendEnded(x, 0, replica, nothing)
+			d.SendEnded(x, 0, replica, timedOut)
 		},
-		"a second end":            func(d *Dispatch, x *exchange.Exchange) { d.finish(x, exchange.Left); d.finish(x, exchange.Acked) },
-		"a send while one is out": func(d *Dispatch, x *exchange.Exchange) { d.Send(x.ID, primary, 0) },
-		"a send for nothing":      func(d *Dispatch, _ *exchange.Exchange) { d.Send(1<<31, primary, 0) },
-		"time going back":         func(d *Dispatch, x *exchange.Exchange) { d.lastTime = time.Hour; d.Left(x) },
+		"second outcome":                  func(d *Dispatch, x *exchange.Exchange) { d.finish(x, exchange.Left); d.finish(x, exchange.Acked) },
+		"send while another is in flight": func(d *Dispatch, x *exchange.Exchange) { d.Send(x.ID, primary, 0) },
+		"send for an unknown op":          func(d *Dispatch, _ *exchange.Exchange) { d.Send(1<<31, primary, 0) },
+		"time going back":                 func(d *Dispatch, x *exchange.Exchange) { d.lastTime = time.Hour; d.Left(x) },
 	} {
 		d, _, _ := startDispatch(t)
 		x := submitOp(d, 0, time.Second)
 		if !standin.Breaks(func() { f(d, x) }) {
-			t.Errorf("%s passes", name)
+			t.Errorf("%s: no assertion failed, want one", name)
 		}
 	}
 }
 
-func TestOnlyAnEarlierTimerWakesTheLoop(t *testing.T) {
+func TestOnlyEarlierTimerWakesRun(t *testing.T) {
 	d, _, _ := startDispatch(t)
 	d.tick()
 	for _, c := range []struct {
@@ -214,18 +217,18 @@
 		wakes int
 	}{{d.nextWake + time.Millisecond, 0}, {d.nextWake - time.Millisecond, 1}} {
 		if d.Timer(1, c.at); len(d.wakeEarlier) != c.wakes {
-			t.Errorf("at %v, next at %v: %d signs", c.at, d.nextWake, len(d.wakeEarlier))
+			t.Errorf("timer at %v with the next wake at %v: got %d signals, want one only for an earlier timer", c.at, d.nextWake, len(d.wakeEarlier))
 		}
 	}
 }
 
-func TestASessionsMarkIsNeverTakenForNone(t *testing.T) {
+func TestRoundedUpSessionPositionIsNotTakenForNone(t *testing.T) {
 	d, s, _ := startDispatch(t)
 	for after, sends := range map[time.Duration]int{choice.LongPast: 1, d.clock.Now() + time.Second: 0} {
-		s.sent = nil // the second commit was rounded up, past the present: no replica is known to have it
+		s.sent = nil // the second position was rounded up past the present: no replica is known to have reached it
 		d.Take(&exchange.Exchange{OpType: 2, Due: time.Second, After: after, Done: make(chan struct{})})
 		if len(s.sent) != sends {
-			t.Errorf("a read of what was written at %v went out: %+v", after, s.sent)
+			t.Errorf("read of a write at %v: got sends %+v, want one only if no position is required", after, s.sent)
 		}
 	}
 }
--- a/internal/exchange/clock.go
+++ b/internal/exchange/clock.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Past is a time long gone: as a connection's time limit it ends what waits there at once.
+// Past is a time in the distant past: as the deadline of a connection it makes pending reads and writes return at once.
 var Past = time.Unix(1, 0)
 
-// Clock counts spans since the gateway's start. The wall clock is read once, so that a step of it moves nothing.
+// Clock measures the time since the gateway's start. It reads the wall clock only once, so that steps of the wall clock
+// have no effect.
 type Clock struct{ start time.Time }
 
-// StartClock starts a clock now.
+// StartClock returns a Clock that starts now.
 func StartClock() Clock { return Clock{time.Now()} }
 
-// Now is the span since the start.
+// Now returns the time since the start.
 func (c Clock) Now() time.Duration { return time.Since(c.start) }
 
-// Time is the moment at which the clock shows the span.
+// Time returns the time of day at which the clock shows the given time since the start.
 func (c Clock) Time(at time.Duration) time.Time { return c.start.Add(at) }
 
-// FromUnix is the span at a Unix time in milliseconds. It is false for times that cannot be meant: none at all, or past
-// what a span can hold.
+// FromUnix converts a Unix time in milliseconds to a time since the start. ok is false for values that cannot be valid: zero
+// or negative ones, and those from 1<<43 on, which a time.Duration cannot hold.
 func (c Clock) FromUnix(ms int64) (at time.Duration, ok bool) {
 	if ms <= 0 || ms >= 1<<43 {
 		return 0, false
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange holds one op from its arrival to its final answer, and what client side and server side
-// share. They meet here only.
+// Package exchange holds the state of one op from its arrival to its final answer, and the types that the client side and
+// the server side share. These two depend on each other through this package only.
 package exchange
 
 import (
@@ -11,42 +11,42 @@
 // Outcome is how an op ended.
 type Outcome uint8
 
-// The outcomes. Held is no end: the op awaits one.
+// The outcomes of an op.
 const (
-	Held Outcome = iota
-	Acked
-	BusyReplied
-	Errored
-	Left // by its client: no answer is owed
+	Held        Outcome = iota // the op has not ended yet
+	Acked                      // a server has answered it
+	BusyReplied                // the client got a busy reply
+	Errored                    // the client got an error
+	Left                       // the client has disconnected: no answer is owed
 )
 
-// Statement is what the client asked for, in whatever protocol; it belongs to the exchange.
+// Statement is the request of a client, independent of the client's protocol. It belongs to the exchange.
 type Statement interface {
-	// AppendQuery appends what a server is to be sent, unchanged but for the time that remains.
+	// AppendQuery appends the query to send to a server: the client's query with the remaining time updated.
 	AppendQuery(b []byte, remaining time.Duration) []byte
 }
 
-// Exchange is one op. The client side fills in what was asked and waits for Done; what is below belongs to
-// the desk until then.
+// Exchange is one op. The client side fills in the fields above Done and then waits for Done. Until Done is closed, the
+// fields below it belong to the Dispatcher.
 type Exchange struct {
 	Statement Statement
 	OpType    uint8
 	Group     uint16
 	Session   uint64
-	Again     bool          // its client has tried before
-	Due       time.Duration // when its client leaves
-	Target    time.Duration // the latency target of its op type
-	After     time.Duration // the position to see, or choice.LongPast
+	Again     bool          // the client has tried the same op before
+	Due       time.Duration // when the client stops waiting
+	Target    time.Duration // the latency target of the op type
+	After     time.Duration // the position that a session read has to see, or choice.LongPast
 
-	Done       chan struct{} // closed at the end
+	Done       chan struct{} // closed when the op has ended
 	ID         uint32
 	Outcome    Outcome
-	ComeBackIn time.Duration // of a busy reply
-	Answer     []byte        // of an acked op: the server's messages up to ReadyForQuery
-	Out        bool          // a send is out
+	ComeBackIn time.Duration // after which a client that got a busy reply should retry; 0 if not stated
+	Answer     []byte        // the server's messages up to ReadyForQuery, if the op was acked
+	Out        bool          // whether a send is in flight
 }
 
-// Over tells whether the op has ended.
+// IsDone reports whether the op has ended.
 func (x *Exchange) Over() bool {
 	select {
 	case <-x.Done:
@@ -56,30 +56,30 @@
 	}
 }
 
-// Ended is how a send or a probe ended.
+// AttemptResult is the result of a send or a probe.
 type Ended struct {
 	Result   choice.Result
 	Took     time.Duration
 	Role     choice.Role
-	Position time.Duration // or choice.LongPast
-	Answer   []byte
-	Report   *Report
+	Position time.Duration // the server's position in the log, or choice.LongPast if it stated none
+	Answer   []byte        // the server's messages, if the result is an ack
+	Report   *Report       // nil if the server sent none
 }
 
-// Report is a server's word on itself, as of the time at which it was made.
+// Report is what a server states about itself in a load report, as of the time at which the report was made.
 type Report struct {
 	Role     choice.Role
-	Position time.Duration // or choice.LongPast
+	Position time.Duration // in the log, or choice.LongPast if the report states none
 }
 
-// Desk takes ops from the client side.
+// Dispatcher handles the ops that the client side submits.
 type Desk interface {
-	Take(x *Exchange) // Done follows
-	Left(x *Exchange) // the client has gone
-	Stop()            // the process is about to end: each op that is held gets its end now
+	Take(x *Exchange) // starts the op; Done is closed when it has ended
+	Left(x *Exchange) // reports that the client has disconnected
+	Stop()            // ends all pending ops, as the process is about to exit
 }
 
-// Events takes what happens at the server side.
+// Events handles the results that the server side reports.
 type Events interface {
 	SendEnded(x *Exchange, number uint8, server uint32, e Ended)
 	ProbeEnded(server uint32, e Ended)
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,4 +2,4 @@
 
 package invariant
 
-func fail(text string) { panic("broken: " + text) }
+func fail(text string) { panic("assertion failed: " + text) }
--- a/internal/invariant/debug_test.go
+++ b/internal/invariant/debug_test.go
@@ -4,10 +4,10 @@
 
 import "testing"
 
-func TestADebugBuildPanics(t *testing.T) {
+func TestFailedCheckPanicsInDebugBuild(t *testing.T) {
 	defer func() {
-		if got := recover(); got != "broken: is false" {
-			t.Errorf("panicked with %v", got)
+		if got := recover(); got != "assertion failed: is false" {
+			t.Errorf("got panic value %v, want the text with the prefix \"assertion failed: \"", got)
 		}
 	}()
 	Check(false, "is false")
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,17 +1,17 @@
-// Package invariant states what must hold. A build with the tag debug panics where it does not; any other
-// build counts it.
+// Package invariant checks assertions. A build with the tag debug panics when an assertion fails; any other build counts
+// and logs the failure.
 package invariant
 
 import "sync/atomic"
 
 var broken atomic.Int64
 
-// Broken tells how many assertions did not hold so far.
+// Broken returns the number of assertions that have failed so far.
 func Broken() int64 { return broken.Load() }
 
-// Check asserts that what the text says holds.
-func Check(holds bool, text string) {
-	if !holds {
+// Check asserts that the condition, which the text describes, is true.
+func Check(condition bool, text string) {
+	if !condition {
 		broken.Add(1)
 		fail(text)
 	}
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-func TestWhatHoldsIsNotCounted(t *testing.T) {
+func TestPassedCheckIsNotCounted(t *testing.T) {
 	before := Broken()
 	if Check(true, "holds"); Broken() != before {
-		t.Errorf("%d counted", Broken()-before)
+		t.Errorf("got %d failures counted, want 0", Broken()-before)
 	}
 }
--- a/internal/invariant/release_test.go
+++ b/internal/invariant/release_test.go
@@ -4,9 +4,9 @@
 
 import "testing"
 
-func TestAReleaseBuildCounts(t *testing.T) {
+func TestFailedCheckIsCountedInReleaseBuild(t *testing.T) {
 	before := Broken()
 	if Check(false, "is false"); Broken() != before+1 {
-		t.Errorf("%d counted", Broken()-before)
+		t.Errorf("got %d failures counted, want 1", Broken()-before)
 	}
 }
