--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -38,7 +38,7 @@
 	SendEnds         [len(sendEndNames)]atomic.Int64 // ended sends by choice.Result
 	Probes           atomic.Int64                    // probes requested by the decision module
 	ProbesAcked      atomic.Int64                    // probes that were acked
-	ServerConns      atomic.Int64                    // server connections established
+	ServerConns      atomic.Int64                    // server connections opened
 	ServerReused     atomic.Int64                    // times that an idle server connection was used for a send or a probe
 	ServerBroken     atomic.Int64                    // server connections that ended during a send or a probe, or while idle
 	ServerRefused    atomic.Int64                    // server connections that could not be established
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -27,10 +27,10 @@
 	"gorsewell/internal/exchange"
 )
 
-const maxListBytes = 16 << 20 // limit for the body of a response; the rest is cut off
+const maxListBytes = 16 << 20 // limit for the body of a response; a longer one is truncated and cannot be decoded
 
 // MaxPropagationDelay is the time after a change of the list by which every gateway must know it, whatever failed before,
-// provided that discovery knew the change and could be reached. The times below are fractions of it, so that it is kept for any
+// provided that discovery knew the change and could be reached. Most times below are fractions of it, so that it is kept for any
 // value of the setting rules.must_ask_in. Within it, a watch that gets no answer from its start on is given up and another call
 // is answered; and within it, a call that was lost, the backoff after it, and the next call end.
 const ToldWithin = 6 * time.Second
@@ -48,8 +48,8 @@
 // minBackoff keeps gateways from calling a discovery that is down in a busy loop.
 const minBackoff = 50 * time.Millisecond
 
-// Discovery handles calls one after another and lets each wait in its queue for up to 2 s. It also handles calls that the gateway
-// has given up by then: if gateways that started together gave up their calls early and repeated them, discovery would work only
+// Discovery handles calls one after another and lets each wait in its queue for up to 2 s. It also handles calls whose
+// caller has given up by then: if gateways that started together gave up their calls early and repeated them, discovery would work only
 // on abandoned calls and no gateway would ever get a list. So the timeout of a call that may be queued is longer than 2 s.
 const (
 	openingWatchWait = 10 * time.Millisecond // wait of the first call of a watch; the next call continues it and is not queued
@@ -125,7 +125,7 @@
 	delete(n.servers, server)
 }
 
-// internName returns the number of a name and adds the name if it is new. All names beyond the first 256 share one number.
+// internName returns the number of a name and adds the name if it is new. All names from the 256th on share the number 255.
 func internName(names *[]string, name string) uint8 {
 	name = deployment.Plain(name)
 	i := slices.Index(*names, name)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// recordingTransport notes the recordingTransport that a client makes and answers none.
+// recordingTransport records the requests of a client and answers none of them.
 type recordingTransport chan *http.Request
 
 func (c recordingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
--- a/internal/exchange/clock.go
+++ b/internal/exchange/clock.go
@@ -15,7 +15,7 @@
 // Now returns the time since the start.
 func (c Clock) Now() time.Duration { return time.Since(c.start) }
 
-// Time returns the time of day at which the clock shows the given time since the start.
+// Time returns the wall-clock time that corresponds to a time since the start.
 func (c Clock) Time(at time.Duration) time.Time { return c.start.Add(at) }
 
 // FromUnix converts a Unix time in milliseconds to a time since the start. ok is false for values that cannot be valid: zero
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -30,7 +30,7 @@
 // fields below it belong to the Dispatcher.
 type Exchange struct {
 	Statement Statement
-	OpType    uint8
+	OpType    uint8 // index of the op type in the settings
 	Group     uint16
 	Session   uint64
 	Again     bool          // the client has tried the same op before
@@ -62,7 +62,7 @@
 	Took     time.Duration
 	Role     choice.Role
 	Position time.Duration // the server's position in the log, or choice.LongPast if it stated none
-	Answer   []byte        // the server's messages, if the result is an ack
+	Answer   []byte        // the server's messages up to ReadyForQuery
 	Report   *Report       // nil if the server sent none
 }
 
