--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -25,8 +25,8 @@
 	choice.Miss:         "send_missed",
 }
 
-// Set holds the counters of one gateway. The zero value is ready to use. The names in the log are derived from the names of
-// the fields.
+// Set holds the counters of one gateway. The zero value is ready to use. The names in the log are derived from the
+// names of the fields.
 type Set struct {
 	Taken            atomic.Int64                    // ops received from clients
 	Acked            atomic.Int64                    // ops that ended with an ack
@@ -39,16 +39,16 @@
 	Probes           atomic.Int64                    // probes requested by the decision module
 	ProbesAcked      atomic.Int64                    // probes that were acked
 	ServerConns      atomic.Int64                    // server connections opened
-	ServerReused     atomic.Int64                    // times that an idle server connection was used for a send or a probe
-	ServerBroken     atomic.Int64                    // server connections that ended during a send or a probe, or while idle
+	ServerReused     atomic.Int64                    // uses of an idle server connection for a send or a probe
+	ServerBroken     atomic.Int64                    // server connections that ended in a send or probe, or while idle
 	ServerRefused    atomic.Int64                    // server connections that could not be established
 	ClientConns      atomic.Int64                    // client connections accepted
 	ClientRefused    atomic.Int64                    // client connections turned away
 	ClientIdleClosed atomic.Int64                    // idle client connections closed to make room for new ones
 	ClientOpen       atomic.Int64                    // client connections that are open now
 	ServerOpen       atomic.Int64                    // server connections that are open now
-	Malformed        atomic.Int64                    // client connections closed because of bytes that could not be parsed
-	Unusable         atomic.Int64                    // queries without a usable comment, of an unknown op type, or too long
+	Malformed        atomic.Int64                    // client connections closed because their data could not be parsed
+	Unusable         atomic.Int64                    // queries without a usable comment, of unknown op type, or too long
 	MalformedAnswers atomic.Int64                    // server messages that could not be parsed or were not expected
 	Lists            atomic.Int64                    // calls of discovery that succeeded
 	ListsFailed      atomic.Int64                    // calls of discovery that failed
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,6 @@
-// Package deployment parses the platform's settings of a deployment into the parameters of the decision module. The adapter
-// for the simulator and the gateway on sockets both use it, so that the module gets the same parameters from both.
+// Package deployment parses the platform's settings of a deployment into the parameters of the decision module. The
+// adapter for the simulator and the gateway on sockets both use it, so that the module gets the same parameters from
+// both.
 package deployment
 
 import (
@@ -82,7 +83,8 @@
 	}
 }
 
-// NormalizeName returns a name in the form that it has in a list of scalars: with an underscore for each space and comma.
+// NormalizeName returns a name in the form that it has in a list of scalars: with an underscore for each space and
+// comma.
 func Plain(name string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(name) }
 
 // Settings holds the parsed settings: the parameters of the decision module and those of the rest of the gateway.
@@ -229,8 +231,8 @@
 	maxSendsPerOp = 255       // a send of an op is identified by one byte
 )
 
-// applyDefaults fills in what the settings do not state. A limit that is missing or zero does not apply, and an answer to an
-// op type without a latency target is useful until the op timeout.
+// applyDefaults fills in what the settings do not state. A limit that is missing or zero does not apply, and an answer
+// to an op type without a latency target is useful until the op timeout.
 func (r *reader) applyDefaults(t *Told) {
 	if t.MaxSends <= 0 || t.MaxSends > maxSendsPerOp {
 		t.MaxSends = maxSendsPerOp
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// Without the setting clients.marks_retry, retries are assumed to be marked: they are unmarked only where the settings say so.
+// Without the setting clients.marks_retry, retries are assumed to be marked: they are unmarked only where the settings
+// say so.
 func TestRetriesAreUnmarkedOnlyIfSettingsSaySo(t *testing.T) {
 	for value, unmarked := range map[string]bool{"": false, "true": false, "false": true} {
 		settings, err := Values{"clients.marks_retry": value}.Read()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -29,15 +29,17 @@
 
 const maxListBytes = 16 << 20 // limit for the body of a response; a longer one is truncated and cannot be decoded
 
-// MaxPropagationDelay is the time after a change of the list by which every gateway must know it, whatever failed before,
-// provided that discovery knew the change and could be reached. Most times below are fractions of it, so that it is kept for any
-// value of the setting rules.must_ask_in. Within it, a watch that gets no answer from its start on is given up and another call
-// is answered; and within it, a call that was lost, the backoff after it, and the next call end.
+// MaxPropagationDelay is the time after a change of the list by which every gateway must know it, whatever failed
+// before, provided that discovery knew the change and could be reached. Most times below are fractions of it, so that
+// it is kept for any value of the setting rules.must_ask_in. Within it, a watch that gets no answer from its start on
+// is given up and another call is answered; and within it, a call that was lost, the backoff after it, and the next
+// call end.
 const ToldWithin = 6 * time.Second
 
-// AskWithin returns the value of choice.Deployment.AskWithin. The module's longest backoff is a quarter of it. If lists are
-// pushed, gateways are expected to know at once what discovery knows, also when discovery has just become reachable again. In
-// that case the backoff after a failed call is limited to half of the drain grace, so that the other half is left.
+// AskWithin returns the value of choice.Deployment.AskWithin. The module's longest backoff is a quarter of it. If lists
+// are pushed, gateways are expected to know at once what discovery knows, also when discovery has just become reachable
+// again. In that case the backoff after a failed call is limited to half of the drain grace, so that the other half is
+// left.
 func AskWithin(settings *deployment.Told) time.Duration {
 	if settings.ListAsked {
 		return ToldWithin * 4 / 5
@@ -49,10 +51,11 @@
 const minBackoff = 50 * time.Millisecond
 
 // Discovery handles calls one after another and lets each wait in its queue for up to 2 s. It also handles calls whose
-// caller has given up by then: if gateways that started together gave up their calls early and repeated them, discovery would work only
-// on abandoned calls and no gateway would ever get a list. So the timeout of a call that may be queued is longer than 2 s.
+// caller has given up by then: if gateways that started together gave up their calls early and repeated them, discovery
+// would work only on abandoned calls and no gateway would ever get a list. So the timeout of a call that may be queued
+// is longer than 2 s.
 const (
-	openingWatchWait = 10 * time.Millisecond // wait of the first call of a watch; the next call continues it and is not queued
+	openingWatchWait = 10 * time.Millisecond // wait of the first call of a watch; the next one continues it without queueing
 	maxWatchWait     = ToldWithin * 2 / 5    // longest wait of a later call of a watch
 	watchWaitJitter  = ToldWithin / 10       // a random part of this is subtracted from maxWatchWait
 	watchAnswerGrace = ToldWithin / 6        // time after the end of its wait in which such a call has to be answered
@@ -94,8 +97,9 @@
 	return &Names{clock: clock, zones: settings.Zones, kinds: settings.Kinds, servers: map[uint32]string{}}
 }
 
-// serverNumber returns the number of a server and assigns one if it has none. For an ID such as s-5be2a07c it is the number in
-// the ID, which is the same at every gateway; other IDs are hashed. The next free number is taken if another server has it.
+// serverNumber returns the number of a server and assigns one if it has none. For an ID such as s-5be2a07c it is the
+// number in the ID, which is the same at every gateway; other IDs are hashed. The next free number is taken if another
+// server has it.
 func (n *Names) serverNumber(id string) uint32 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -125,7 +129,8 @@
 	delete(n.servers, server)
 }
 
-// internName returns the number of a name and adds the name if it is new. All names from the 256th on share the number 255.
+// internName returns the number of a name and adds the name if it is new. All names from the 256th on share the number
+// 255.
 func internName(names *[]string, name string) uint8 {
 	name = deployment.Plain(name)
 	i := slices.Index(*names, name)
@@ -208,8 +213,9 @@
 	return c
 }
 
-// connect dials discovery with a timeout. net/http does not end a dial when the call that started it ends: if nobody answers,
-// two abandoned dials would use up MaxConnsPerHost and block all later calls until the system gives up connecting.
+// connect dials discovery with a timeout. net/http does not end a dial when the call that started it ends: if nobody
+// answers, two abandoned dials would use up MaxConnsPerHost and block all later calls until the system gives up
+// connecting.
 func (c *Client) connect(ctx context.Context, network, addr string) (net.Conn, error) {
 	limited, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -233,8 +239,8 @@
 	}
 }
 
-// Move switches to another address. A call in progress is cancelled, pending requests are made at the new address, and a watch is
-// started there.
+// Move switches to another address. A call in progress is cancelled, pending requests are made at the new address, and
+// a watch is started there.
 func (c *Client) Move(addr string) {
 	select {
 	case <-c.moves: // replaced before Run moved there
@@ -246,7 +252,8 @@
 // setAddress sets the address of the next call.
 func (c *Client) setAddress(addr string) { c.listURL = "http://" + addr + "/v1/servers" }
 
-// Run makes the requested calls until the context is cancelled. A request waits for the call in progress; a move cancels it.
+// Run makes the requested calls until the context is cancelled. A request waits for the call in progress; a move
+// cancels it.
 func (c *Client) Run(ctx context.Context) error {
 	defer c.http.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -295,15 +302,15 @@
 	}
 }
 
-// watchWait returns the wait of the next call of a watch. It is random: otherwise gateways that start together, or that get the
-// same change, would call in lockstep from then on.
+// watchWait returns the wait of the next call of a watch. It is random: otherwise gateways that start together, or that
+// get the same change, would call in lockstep from then on.
 func (c *Client) watchWait() time.Duration {
 	return maxWatchWait - time.Duration(c.rng.Int64N(int64(watchWaitJitter)+1))
 }
 
-// fetchChanges requests the changes since the version and waits for them; without a valid version it requests the whole list.
-// The first call of a watch waits only for a short time, so that each request of a watch is answered soon; later calls continue
-// the same watch. The result is false if the call failed.
+// fetchChanges requests the changes since the version and waits for them; without a valid version it requests the whole
+// list. The first call of a watch waits only for a short time, so that each request of a watch is answered soon; later
+// calls continue the same watch. The result is false if the call failed.
 func (c *Client) fetchChanges(ctx context.Context) bool {
 	if !c.versionValid {
 		return c.fetch(ctx, "", c.timeout)
@@ -317,7 +324,9 @@
 	return c.watchOpen
 }
 
-// fetch makes one call and passes the list on to the handler. The result is false if the call failed.
+// fetch makes one call and passes the list on to the handler. The result is false if the call failed. If the version in
+// a list of changes is lower than the last one, discovery has restarted its count: changes since that version may be
+// incomplete.
 func (c *Client) fetch(ctx context.Context, query string, timeout time.Duration) bool {
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -344,7 +353,7 @@
 	}
 	c.failing = false
 	c.counts.Lists.Add(1)
-	c.versionValid = list.Full || list.Version >= c.version // otherwise discovery restarted its count, and changes since a version may be incomplete
+	c.versionValid = list.Full || list.Version >= c.version // else the version count was restarted
 	c.version = list.Version
 	scope := choice.ListChanges
 	if list.Full {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// A discovery that was restarted may count versions from a lower number. Changes since an older version are then meaningless.
+// A discovery that was restarted may count versions from a lower number. Changes since an older version are then
+// meaningless.
 func TestLowerVersionMakesWatchFetchWholeList(t *testing.T) {
 	queries := make(chan string, 8)
 	c, lists := startClient(t, time.Second, func(w http.ResponseWriter, r *http.Request) {
@@ -155,9 +156,9 @@
 	return nil, errors.New("no answer")
 }
 
-// Discovery answers calls one after another, so the waits of watches that started together must differ. No wait may be so long that
-// after a watch without an answer there is no time for another call within MaxPropagationDelay, nor a timeout so short that a
-// watch is given up when discovery answers late.
+// Discovery answers calls one after another, so the waits of watches that started together must differ. No wait may be
+// so long that after a watch without an answer there is no time for another call within MaxPropagationDelay, nor a
+// timeout so short that a watch is given up when discovery answers late.
 func TestWatchWaitsAreRandomAndBounded(t *testing.T) {
 	waits := map[int64]bool{} // in ms
 	for seed := range uint64(8) {
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -18,13 +18,14 @@
 	"gorsewell/internal/exchange"
 )
 
-// fakeDiscovery is a discovery on a network of its own, in the virtual time of a synctest bubble. It can simulate a fault.
+// fakeDiscovery is a discovery on a network of its own, in the virtual time of a synctest bubble. It can simulate a
+// fault.
 type fakeDiscovery struct {
 	mu           sync.Mutex
 	fault        func(w http.ResponseWriter, r *http.Request) // handles calls during a fault; nil without one
-	dialFault    func(ctx context.Context) error              // called for new connections during a fault; nil: they succeed
+	dialFault    func(ctx context.Context) error              // called for new connections during a fault, if not nil
 	version      int                                          // of the list: 1 at first, 2 once the server drains
-	faultStarted chan struct{}                                // closed when the fault starts, which affects open watches too
+	faultStarted chan struct{}                                // closed when the fault starts: open watches are affected
 	changed      chan struct{}                                // closed when the list changes
 	incoming     chan net.Conn
 	closed       chan struct{}
@@ -37,8 +38,8 @@
 // connKey is the context key of a call's connection.
 type connKey struct{}
 
-// waitTurn waits for a call's turn in the queue. A call that continues a watch is not queued. The result is false if the queue
-// is too long. A call also takes its time if its caller no longer waits for it.
+// waitTurn waits for a call's turn in the queue. A call that continues a watch is not queued. The result is false if
+// the queue is too long. A call also takes its time if its caller no longer waits for it.
 func (s *fakeDiscovery) waitTurn(r *http.Request) bool {
 	c := r.Context().Value(connKey{}).(net.Conn)
 	s.mu.Lock()
@@ -151,8 +152,8 @@
 	s.changed = make(chan struct{}) // there are no further changes
 }
 
-// testGateway is a decision module with its Dispatch and a server side that does nothing. It records when it learned that the
-// server drains.
+// testGateway is a decision module with its Dispatch and a server side that does nothing. It records when it learned
+// that the server drains.
 type testGateway struct {
 	*dispatch.Dispatch
 	drainSeen chan time.Time
@@ -200,9 +201,9 @@
 	return g, c
 }
 
-// propagationDelay returns the time from a change of the list, made when a fault of discovery ends, until a gateway learns of it. The
-// fault starts at faultAt after the gateway's start and lasts for faultTime. If moves is true, the gateway is moved to another
-// address of discovery when the fault ends.
+// propagationDelay returns the time from a change of the list, made when a fault of discovery ends, until a gateway
+// learns of it. The fault starts at faultAt after the gateway's start and lasts for faultTime. If moves is true, the
+// gateway is moved to another address of discovery when the fault ends.
 func propagationDelay(t *testing.T, s *fakeDiscovery, faultAt, faultTime time.Duration, moves, pushed bool) (took time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		fault, dialFault := s.fault, s.dialFault
@@ -216,7 +217,7 @@
 		running.Go(func() { g.Run(ctx) })
 		time.Sleep(faultAt)
 		s.mu.Lock()
-		s.fault, s.dialFault, s.changed = fault, dialFault, make(chan struct{}) // watches open at the start of the fault get no change
+		s.fault, s.dialFault, s.changed = fault, dialFault, make(chan struct{}) // open watches get no change
 		close(s.faultStarted)
 		s.mu.Unlock()
 		time.Sleep(faultTime)
@@ -253,8 +254,8 @@
 	}
 }
 
-// A gateway must know a change within 6 s after discovery had it and could be reached, whatever failed before. Each fault starts
-// at different moments of a watch and of the backoff, and lasts for different times.
+// A gateway must know a change within 6 s after discovery had it and could be reached, whatever failed before. Each
+// fault starts at different moments of a watch and of the backoff, and lasts for different times.
 func TestChangeIsKnownWithinMaxPropagationDelayAfterFault(t *testing.T) {
 	silent := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 	neverConnects := func(ctx context.Context) error {
@@ -299,8 +300,8 @@
 	}
 }
 
-// Discovery handles calls one after another and refuses those that would have to wait for more than 2 s. Gateways that start
-// together make more calls than that. Even so, each has a watch within some seconds, and gets a change at once.
+// Discovery handles calls one after another and refuses those that would have to wait for more than 2 s. Gateways that
+// start together make more calls than that. Even so, each has a watch within some seconds, and gets a change at once.
 func TestGatewaysStartedTogetherAllGetWatchAtBusyDiscovery(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeDiscovery{callTime: 160 * time.Millisecond}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -17,30 +17,30 @@
 // Servers is the server side of the gateway. Its methods are called with the Dispatch's mutex held: they must neither
 // block nor call the Dispatch.
 type Servers interface {
-	Send(x *exchange.Exchange, number uint8, server uint32, by time.Duration)
-	Withdraw(server uint32)
-	Cancel(x *exchange.Exchange, number uint8)
-	Probe(server uint32)
-	CloseIdle(server uint32)
-	Locate(addrs map[uint32]string)
-	Forget(server uint32)
+	Send(x *exchange.Exchange, number uint8, server uint32, by time.Duration) // starts a send, at the latest by the time given
+	Withdraw(server uint32)                                                   // ends the sends to a server that have not begun
+	Cancel(x *exchange.Exchange, number uint8)                                // stops waiting for the result of a send
+	Probe(server uint32)                                                      // starts a probe
+	CloseIdle(server uint32)                                                  // closes the idle connections to a server
+	Locate(addrs map[uint32]string)                                           // sets the addresses of servers
+	Forget(server uint32)                                                     // frees all resources of a server
 }
 
 // Discovery is the source of server lists. Its methods are called with the Dispatch's mutex held: they must neither
 // block nor call the Dispatch.
 type Discovery interface {
-	Ask()
-	Watch()
-	Forget(server uint32)
+	Ask()                 // requests the whole list
+	Watch()               // requests changes of the list from now on
+	Forget(server uint32) // frees all resources of a server
 }
 
 // Gossip shares this gateway's observations of servers with other gateways, and reports theirs by Dispatch.Rumour. Its
 // methods are called with the Dispatch's mutex held: they must neither block nor call the Dispatch.
 type Sharing interface {
-	Trouble(server uint32, t choice.Trouble)
-	Acked(server uint32, sentAt time.Duration)
-	Forget(server uint32)
-	Listed(addrs map[uint32]string) // addresses of servers on the list; Forget is called for each one that is removed
+	Trouble(server uint32, t choice.Trouble)   // reports this gateway's observation of a server
+	Acked(server uint32, sentAt time.Duration) // reports that a server acked a send within the latency target
+	Forget(server uint32)                      // frees all resources of a server
+	Listed(addrs map[uint32]string)            // reports the servers that a list names; Forget follows for removed ones
 }
 
 // Dispatch is the host of one gateway's decision module.
@@ -158,7 +158,8 @@
 	}
 }
 
-// Stop gives up all pending ops before the process exits: a final reply is better for a client than a closed connection.
+// Stop gives up all pending ops before the process exits: a final reply is better for a client than a closed
+// connection.
 func (d *Dispatch) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -222,6 +223,7 @@
 	d.gateway.ProbeAnswer(now, server, e.Result, e.Took)
 }
 
+// report passes the load report of a server, if there is one, to the module. The mutex has to be held.
 func (d *Dispatch) report(now time.Duration, server uint32, r *exchange.Report) {
 	if r != nil {
 		d.gateway.Report(now, server, r.Role, r.Position)
@@ -238,8 +240,8 @@
 	d.gateway.Rumour(d.now(), server, weight)
 }
 
-// HandleList passes a list from discovery on. The addresses are set first, as the module may send at once. All of it is done
-// with the mutex held, as the module may forget a server that this list names again.
+// HandleList passes a list from discovery on. The addresses are set first, as the module may send at once. All of it is
+// done with the mutex held, as the module may forget a server that this list names again.
 func (d *Dispatch) Listed(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -49,8 +49,8 @@
 
 const primary, replica = 1, 2
 
-// startDispatch returns a Dispatch with one group of a primary and a replica, and three op types: a read, a write and a read
-// that must see its session's last write.
+// startDispatch returns a Dispatch with one group of a primary and a replica, and three op types: a read, a write and a
+// read that must see its session's last write.
 func startDispatch(t *testing.T) (*Dispatch, *fakeServers, *fakeDiscovery) {
 	t.Helper()
 	settings := &choice.Deployment{Gateways: 1, Round: 5 * time.Millisecond, ListAsked: true, AskWithin: 10 * time.Second,
--- a/internal/exchange/clock.go
+++ b/internal/exchange/clock.go
@@ -18,8 +18,8 @@
 // Time returns the wall-clock time that corresponds to a time since the start.
 func (c Clock) Time(at time.Duration) time.Time { return c.start.Add(at) }
 
-// FromUnix converts a Unix time in milliseconds to a time since the start. ok is false for values that cannot be valid: zero
-// or negative ones, and those from 1<<43 on, which a time.Duration cannot hold.
+// FromUnix converts a Unix time in milliseconds to a time since the start. ok is false for values that cannot be valid:
+// zero or negative ones, and those from 1<<43 on, which a time.Duration cannot hold.
 func (c Clock) FromUnix(ms int64) (at time.Duration, ok bool) {
 	if ms <= 0 || ms >= 1<<43 {
 		return 0, false
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,5 +1,5 @@
-// Package exchange holds the state of one op from its arrival to its final answer, and the types that the client side and
-// the server side share. These two depend on each other through this package only.
+// Package exchange holds the state of one op from its arrival to its final answer, and the types that the client side
+// and the server side share. These two depend on each other through this package only.
 package exchange
 
 import (
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant checks assertions. A build with the tag debug panics when an assertion fails; any other build counts
-// and logs the failure.
+// Package invariant checks assertions. A build with the tag debug panics when an assertion fails; any other build
+// counts and logs the failure.
 package invariant
 
 import "sync/atomic"
