--- a/internal/gossip/carrier/attrs.go
+++ b/internal/gossip/carrier/attrs.go
@@ -20,16 +20,16 @@
 		slog.Int64("dead", standing[gossip.IsDead]), slog.Int64("left", standing[gossip.HasLeft]))
 	v := reflect.ValueOf(c.node.Counts())
 	for i := range v.NumField() {
-		all = append(all, slog.Int64(snake(v.Type().Field(i).Name), v.Field(i).Int()))
+		all = append(all, slog.Int64(snakeCase(v.Type().Field(i).Name), v.Field(i).Int()))
 	}
 	d := reflect.ValueOf(&c.counts).Elem()
 	for i := range d.NumField() {
-		all = append(all, slog.Int64("dropped_"+snake(d.Type().Field(i).Name), d.Field(i).Addr().Interface().(*atomic.Int64).Load()))
+		all = append(all, slog.Int64("dropped_"+snakeCase(d.Type().Field(i).Name), d.Field(i).Addr().Interface().(*atomic.Int64).Load()))
 	}
 	return all
 }
 
-func snake(name string) string {
+func snakeCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
 		if unicode.IsUpper(r) && i > 0 {
--- a/internal/gossip/carrier/carrier.go
+++ b/internal/gossip/carrier/carrier.go
@@ -32,41 +32,41 @@
 
 // Carrier is one instance's gossip.
 type Carrier struct {
-	set   config.Gossip
-	name  string
-	clock exchange.Clock
-	desk  Desk
-	ids   func(server uint32) string // of servers in the list
-
-	udp      *net.UDPConn
-	tcp      *net.TCPListener
-	node     *gossip.Node // owned by Run
-	run      uint64
-	events   chan func()
-	ended    chan struct{} // closed when the owner has ended
-	poked    chan struct{}
-	wake     *time.Timer
-	inbound  chan struct{} // as many as streams may be open
-	outbound chan struct{}
-	tasks    *errgroup.Group
-
-	bookMu sync.Mutex
-	book   *wire.Book
-
-	mu       sync.Mutex // guards what comes from the gateway
-	hashes   map[uint32]uint64
-	servers  map[uint64]uint32
-	troubles map[uint32]choice.Trouble
-	acks     map[uint32]time.Duration
-	known    int
-
-	rumoured atomic.Pointer[map[uint32]struct{}] // servers of which others say something: whose acks matter
-
-	counts    Counts
-	logged    int
-	loggedAt  time.Duration
-	untold    int
-	certUntil time.Time
+	settings config.Gossip
+	name     string
+	clock    exchange.Clock
+	gateway  Desk
+	serverID func(server uint32) string // of servers in the list
+
+	udp           *net.UDPConn
+	tcp           *net.TCPListener
+	node          *gossip.Node // owned by Run
+	runID         uint64
+	events        chan func()
+	stopped       chan struct{} // closed when the owner has ended
+	evidence      chan struct{}
+	timer         *time.Timer
+	inboundSlots  chan struct{} // as many as streams may be open
+	outboundSlots chan struct{}
+	tasks         *errgroup.Group
+
+	codecMu sync.Mutex
+	codec   *wire.Book
+
+	mu            sync.Mutex // guards what comes from the gateway
+	hashByServer  map[uint32]uint64
+	serverByHash  map[uint64]uint32
+	troubles      map[uint32]choice.Trouble
+	acks          map[uint32]time.Duration
+	listedServers int
+
+	rumouredServers atomic.Pointer[map[uint32]struct{}] // servers of which others say something: whose acks matter
+
+	counts          Counts
+	linesLogged     int
+	logWindowStart  time.Duration
+	linesSuppressed int
+	certNotAfter    time.Time
 }
 
 // Counts is what the carrier counts by itself: what was dropped, by cause, before it reached the node.
@@ -77,10 +77,10 @@
 }
 
 const (
-	queue        = 256
-	outStreams   = 2
-	linesAMinute = 30
-	reseedEvery  = 30 * time.Second
+	eventQueueSize       = 256
+	maxOutboundStreams   = 2
+	maxLogLinesPerMinute = 30
+	seedLookupInterval   = 30 * time.Second
 )
 
 // New opens the sockets. Run does the work, and closes them.
@@ -105,20 +105,20 @@
 		}
 		own = netip.AddrPortFrom(a.AddrPort().Addr().Unmap(), a.AddrPort().Port())
 	}
-	c := &Carrier{set: set, name: name, clock: clock, desk: desk, ids: ids, udp: udp, tcp: tcp, events: make(chan func(), queue),
-		ended: make(chan struct{}), poked: make(chan struct{}, 1), wake: time.NewTimer(time.Hour), inbound: make(chan struct{}, set.Limits.Streams), outbound: make(chan struct{}, outStreams),
-		hashes: map[uint32]uint64{}, servers: map[uint64]uint32{}, troubles: map[uint32]choice.Trouble{}, acks: map[uint32]time.Duration{}}
-	c.rumoured.Store(&map[uint32]struct{}{})
+	c := &Carrier{settings: set, name: name, clock: clock, gateway: desk, serverID: ids, udp: udp, tcp: tcp, events: make(chan func(), eventQueueSize),
+		stopped: make(chan struct{}), evidence: make(chan struct{}, 1), timer: time.NewTimer(time.Hour), inboundSlots: make(chan struct{}, set.Limits.Streams), outboundSlots: make(chan struct{}, maxOutboundStreams),
+		hashByServer: map[uint32]uint64{}, serverByHash: map[uint64]uint32{}, troubles: map[uint32]choice.Trouble{}, acks: map[uint32]time.Duration{}}
+	c.rumouredServers.Store(&map[uint32]struct{}{})
 	run := rand.Uint64()
-	c.run = run
-	c.book = wire.NewBook(ring, set.Cluster, run, set.Limits.Members, time.Now)
-	c.certUntil = time.Unix(ring.Certificate.NotAfter, 0)
+	c.runID = run
+	c.codec = wire.NewBook(ring, set.Cluster, run, set.Limits.Members, time.Now)
+	c.certNotAfter = time.Unix(ring.Certificate.NotAfter, 0)
 	l := &set.Limits
 	c.node = gossip.New(c, gossip.Setup{Name: name, Key: ring.Certificate.Key(), Run: run, Seed: rand.Uint64(), Addr: own,
 		Learn: own.Addr().IsUnspecified(), ProbeEvery: set.ProbeEvery, ProbeTimeout: set.ProbeTimeout, SuspectFor: set.SuspectFor,
 		TellEvery: set.TellEvery, SyncEvery: set.SyncEvery, RumourLife: set.RumourLife, Members: l.Members, Rumours: l.Rumours,
 		RumoursPerObserver: l.RumoursPerObserver, ObserversPerServer: l.ObserversPerServer, Datagram: int(l.Datagram),
-		DatagramsPerTell: l.DatagramsPerTell, BytesPerSecond: int(l.BytesPerSecond), Seeds: c.resolve(context.Background(), true)})
+		DatagramsPerTell: l.DatagramsPerTell, BytesPerSecond: int(l.BytesPerSecond), Seeds: c.resolveSeeds(context.Background(), true)})
 	return c, nil
 }
 
@@ -143,9 +143,9 @@
 // Addr is where the carrier listens.
 func (c *Carrier) Addr() netip.AddrPort { return c.udp.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// resolve finds where the seeds are. Names are looked up only if that may take its time.
-func (c *Carrier) resolve(ctx context.Context, atOnce bool) (seeds []netip.AddrPort) {
-	for _, s := range c.set.Seeds {
+// resolveSeeds finds where the seeds are. Names are looked up only if that may take its time.
+func (c *Carrier) resolveSeeds(ctx context.Context, atOnce bool) (seeds []netip.AddrPort) {
+	for _, s := range c.settings.Seeds {
 		if a, err := netip.ParseAddrPort(s); err == nil {
 			seeds = append(seeds, a)
 			continue
@@ -179,14 +179,14 @@
 		c.udp.SetReadDeadline(exchange.Past)
 	})
 	defer stop()
-	group.Go(func() error { return c.receive(inner) })
-	group.Go(func() error { return c.accept(inner) })
-	if c.hasNames() {
-		group.Go(func() error { return c.reseed(inner) })
+	group.Go(func() error { return c.receiveDatagrams(inner) })
+	group.Go(func() error { return c.acceptStreams(inner) })
+	if c.hasSeedNames() {
+		group.Go(func() error { return c.refreshSeeds(inner) })
 	}
-	c.own(inner)
+	c.runNode(inner)
 	c.node.Leave(c.clock.Now())
-	close(c.ended)
+	close(c.stopped)
 	c.tcp.Close()
 	c.udp.SetReadDeadline(exchange.Past)
 	err := group.Wait()
@@ -194,29 +194,29 @@
 	return err
 }
 
-func (c *Carrier) hasNames() bool {
-	return len(c.resolve(context.Background(), true)) < len(c.set.Seeds)
+func (c *Carrier) hasSeedNames() bool {
+	return len(c.resolveSeeds(context.Background(), true)) < len(c.settings.Seeds)
 }
 
-// reseed looks seeds up by name, now and again: they may move.
-func (c *Carrier) reseed(ctx context.Context) error {
+// refreshSeeds looks seeds up by name, now and again: they may move.
+func (c *Carrier) refreshSeeds(ctx context.Context) error {
 	for {
 		limited, cancel := context.WithTimeout(ctx, 5*time.Second)
-		seeds := c.resolve(limited, false)
+		seeds := c.resolveSeeds(limited, false)
 		cancel()
 		if len(seeds) > 0 {
-			c.do(func() { c.node.Reseed(c.clock.Now(), seeds) })
+			c.enqueue(func() { c.node.Reseed(c.clock.Now(), seeds) })
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(reseedEvery):
+		case <-time.After(seedLookupInterval):
 		}
 	}
 }
 
-// own is the goroutine that the node belongs to.
-func (c *Carrier) own(ctx context.Context) {
+// runNode is the goroutine that the node belongs to.
+func (c *Carrier) runNode(ctx context.Context) {
 	c.node.Start(c.clock.Now())
 	minute := time.NewTicker(time.Minute)
 	defer minute.Stop()
@@ -226,18 +226,18 @@
 			return
 		case f := <-c.events:
 			f()
-		case <-c.wake.C:
+		case <-c.timer.C:
 			c.node.Timer(c.clock.Now())
-		case <-c.poked:
-			c.heed()
+		case <-c.evidence:
+			c.deliverEvidence()
 		case <-minute.C:
-			c.ages()
+			c.checkExpiry()
 		}
 	}
 }
 
-// do hands something to the owner; false if that has too much to do.
-func (c *Carrier) do(f func()) bool {
+// enqueue hands something to the owner; false if that has too much to enqueue.
+func (c *Carrier) enqueue(f func()) bool {
 	select {
 	case c.events <- f:
 		return true
@@ -247,15 +247,15 @@
 	}
 }
 
-// ages ends what certificates no longer bear.
-func (c *Carrier) ages() {
-	c.bookMu.Lock()
-	ended := c.book.Expired()
-	c.bookMu.Unlock()
+// checkExpiry ends what certificates no longer bear.
+func (c *Carrier) checkExpiry() {
+	c.codecMu.Lock()
+	ended := c.codec.Expired()
+	c.codecMu.Unlock()
 	for _, id := range ended {
 		c.node.Expelled(c.clock.Now(), id)
 	}
-	if left := time.Until(c.certUntil); left < 0 {
+	if left := time.Until(c.certNotAfter); left < 0 {
 		slog.Error("gossip", "what", "certificate_expired", "name", c.name)
 	} else if left < 24*time.Hour {
 		slog.Warn("gossip", "what", "certificate_expires", "name", c.name, "in", left.Round(time.Minute))
@@ -268,12 +268,12 @@
 		return fmt.Errorf("the certificate is of %q, this instance is %q", ring.Certificate.Name, c.name)
 	}
 	done := make(chan struct{})
-	if !c.do(func() {
+	if !c.enqueue(func() {
 		defer close(done)
-		c.bookMu.Lock()
-		ended := c.book.Rekey(ring)
-		c.bookMu.Unlock()
-		c.certUntil = time.Unix(ring.Certificate.NotAfter, 0)
+		c.codecMu.Lock()
+		ended := c.codec.Rekey(ring)
+		c.codecMu.Unlock()
+		c.certNotAfter = time.Unix(ring.Certificate.NotAfter, 0)
 		now := c.clock.Now()
 		c.node.Rekey(now, ring.Certificate.Key())
 		for _, id := range ended {
@@ -284,16 +284,16 @@
 	}
 	select {
 	case <-done:
-	case <-c.ended:
+	case <-c.stopped:
 	}
 	return nil
 }
 
 // Datagram implements gossip.Host, as do Exchange, Wake, Rumoured and Log.
 func (c *Carrier) Datagram(to netip.AddrPort, key gossip.KeyID, m *gossip.Message) {
-	c.bookMu.Lock()
-	d, err := c.book.Datagram(key, m)
-	c.bookMu.Unlock()
+	c.codecMu.Lock()
+	d, err := c.codec.Datagram(key, m)
+	c.codecMu.Unlock()
 	if err == nil {
 		_, err = c.udp.WriteToUDPAddrPort(d, to)
 	}
@@ -303,20 +303,20 @@
 }
 
 // Wake sets the one timer.
-func (c *Carrier) Wake(at time.Duration) { c.wake.Reset(max(0, at-c.clock.Now())) }
+func (c *Carrier) Wake(at time.Duration) { c.timer.Reset(max(0, at-c.clock.Now())) }
 
 // Rumoured tells the gateway, if the server is one that its list names.
 func (c *Carrier) Rumoured(server uint64, weight float64) {
 	c.mu.Lock()
-	id, ok := c.servers[server]
+	id, ok := c.serverByHash[server]
 	c.mu.Unlock()
 	if ok {
-		c.rumour(id, weight)
+		c.reportRumour(id, weight)
 	}
 }
 
-func (c *Carrier) rumour(id uint32, weight float64) {
-	old := *c.rumoured.Load()
+func (c *Carrier) reportRumour(id uint32, weight float64) {
+	old := *c.rumouredServers.Load()
 	if _, had := old[id]; had != (weight > 0) {
 		next := make(map[uint32]struct{}, len(old)+1)
 		for s := range old {
@@ -327,9 +327,9 @@
 		} else {
 			delete(next, id)
 		}
-		c.rumoured.Store(&next)
+		c.rumouredServers.Store(&next)
 	}
-	c.desk.Rumour(id, weight)
+	c.gateway.Rumour(id, weight)
 }
 
 // Log writes what an operator wants to know, as long as it is not too much of it.
@@ -338,16 +338,16 @@
 func (c *Carrier) log(level slog.Level, event, name string) {
 	c.mu.Lock()
 	now := c.clock.Now()
-	if now-c.loggedAt > time.Minute {
-		if c.untold > 0 {
-			slog.Info("gossip", "what", "more_lines_untold", "count", c.untold)
+	if now-c.logWindowStart > time.Minute {
+		if c.linesSuppressed > 0 {
+			slog.Info("gossip", "what", "more_lines_untold", "count", c.linesSuppressed)
 		}
-		c.logged, c.loggedAt, c.untold = 0, now, 0
+		c.linesLogged, c.logWindowStart, c.linesSuppressed = 0, now, 0
 	}
-	c.logged++
-	tell := c.logged <= linesAMinute
+	c.linesLogged++
+	tell := c.linesLogged <= maxLogLinesPerMinute
 	if !tell {
-		c.untold++
+		c.linesSuppressed++
 	}
 	c.mu.Unlock()
 	if tell {
@@ -360,43 +360,43 @@
 	c.mu.Lock()
 	c.troubles[server] = t // the newest word counts
 	c.mu.Unlock()
-	c.poke()
+	c.signalEvidence()
 }
 
 // Acked matters only for servers of which others say that they are in trouble.
 func (c *Carrier) Acked(server uint32, sentAt time.Duration) {
-	if _, ok := (*c.rumoured.Load())[server]; !ok {
+	if _, ok := (*c.rumouredServers.Load())[server]; !ok {
 		return
 	}
 	c.mu.Lock()
 	c.acks[server] = max(c.acks[server], sentAt)
 	c.mu.Unlock()
-	c.poke()
+	c.signalEvidence()
 }
 
 // Forget drops a server that has gone, and with it the gateway's own trouble with it.
 func (c *Carrier) Forget(server uint32) {
 	c.mu.Lock()
-	hash, ok := c.hashes[server]
-	delete(c.hashes, server)
-	delete(c.servers, hash)
+	hash, ok := c.hashByServer[server]
+	delete(c.hashByServer, server)
+	delete(c.serverByHash, hash)
 	delete(c.troubles, server)
 	delete(c.acks, server)
-	c.known = len(c.hashes)
+	c.listedServers = len(c.hashByServer)
 	c.mu.Unlock()
 	if ok {
-		c.do(func() {
+		c.enqueue(func() {
 			now := c.clock.Now()
 			c.node.Recovered(now, hash)
-			c.node.Servers(now, c.count())
+			c.node.Servers(now, c.listedServerCount())
 		})
 	}
 }
 
-func (c *Carrier) count() int {
+func (c *Carrier) listedServerCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.known
+	return c.listedServers
 }
 
 // Listed takes servers that the list names. What is said of one that is new here is told to the gateway then.
@@ -404,51 +404,51 @@
 	c.mu.Lock()
 	var fresh []uint32
 	for id := range addrs {
-		if _, ok := c.hashes[id]; !ok {
-			hash := xxhash.Sum64String(c.ids(id))
-			c.hashes[id], c.servers[hash] = hash, id
+		if _, ok := c.hashByServer[id]; !ok {
+			hash := xxhash.Sum64String(c.serverID(id))
+			c.hashByServer[id], c.serverByHash[hash] = hash, id
 			fresh = append(fresh, id)
 		}
 	}
-	c.known = len(c.hashes)
+	c.listedServers = len(c.hashByServer)
 	c.mu.Unlock()
 	if len(fresh) == 0 {
 		return
 	}
-	c.do(func() {
+	c.enqueue(func() {
 		now := c.clock.Now()
-		c.node.Servers(now, c.count())
+		c.node.Servers(now, c.listedServerCount())
 		for _, id := range fresh {
 			c.mu.Lock()
-			hash, ok := c.hashes[id]
+			hash, ok := c.hashByServer[id]
 			c.mu.Unlock()
 			if w := c.node.Weight(now, hash); ok && w > 0 {
-				c.rumour(id, w)
+				c.reportRumour(id, w)
 			}
 		}
 	})
 }
 
-func (c *Carrier) poke() {
+func (c *Carrier) signalEvidence() {
 	select {
-	case c.poked <- struct{}{}:
+	case c.evidence <- struct{}{}:
 	default:
 	}
 }
 
-// heed hands the gateway's own evidence to the node.
-func (c *Carrier) heed() {
+// deliverEvidence hands the gateway's own evidence to the node.
+func (c *Carrier) deliverEvidence() {
 	c.mu.Lock()
 	troubles, acks := c.troubles, c.acks
 	c.troubles, c.acks = map[uint32]choice.Trouble{}, map[uint32]time.Duration{}
 	hashes := make(map[uint32]uint64, len(troubles)+len(acks))
 	for id := range troubles {
-		if h, ok := c.hashes[id]; ok {
+		if h, ok := c.hashByServer[id]; ok {
 			hashes[id] = h
 		}
 	}
 	for id := range acks {
-		if h, ok := c.hashes[id]; ok {
+		if h, ok := c.hashByServer[id]; ok {
 			hashes[id] = h
 		}
 	}
@@ -474,25 +474,25 @@
 
 // Peers lists the members as the node holds them now; nothing if it is too busy to say.
 func (c *Carrier) Peers() []gossip.Peer {
-	peers, _ := ask(c, c.node.Peers)
+	peers, _ := callNode(c, c.node.Peers)
 	return peers
 }
 
 // RunNumber is drawn at the start of this instance; all that it signs bears it.
-func (c *Carrier) RunNumber() uint64 { return c.run }
+func (c *Carrier) RunNumber() uint64 { return c.runID }
 
 // Attrs gives the counters for a log line: how members stand, what the node has counted, what was dropped before it.
 func (c *Carrier) Attrs() (all []slog.Attr) {
 	select {
-	case <-c.ended:
+	case <-c.stopped:
 		return c.attrs() // nobody else looks at the node any more
 	default:
 	}
 	got := make(chan []slog.Attr, 1)
-	if c.do(func() { got <- c.attrs() }) {
+	if c.enqueue(func() { got <- c.attrs() }) {
 		select {
 		case all = <-got:
-		case <-c.ended:
+		case <-c.stopped:
 		}
 	}
 	return all
--- a/internal/gossip/carrier/datagram.go
+++ b/internal/gossip/carrier/datagram.go
@@ -14,30 +14,30 @@
 	"gorsewell/internal/gossip/wire"
 )
 
-// batch is how many datagrams one call to the system brings: under a flood the calls cost most.
-const batch = 32
+// receiveBatchSize is how many datagrams one call to the system brings: under a flood the calls cost most.
+const receiveBatchSize = 32
 
 // What looking at a datagram costs of the budget, in parts of what a good one does. The most is spent on those of whom a
 // certificate is to be proved.
 const (
-	costGood     = 1.0
-	costMeet     = 20.0
-	costTag      = 1. / 30 // a tag that does not fit
-	costReject   = 1. / 60 // turned away by its first bytes
-	emptyPause   = 20 * time.Millisecond
-	budgetPeriod = 500 * time.Millisecond // of the budget may be spent at once
+	costValid      = 1.0
+	costNewPeer    = 20.0
+	costInvalidTag = 1. / 30 // a tag that does not fit
+	costReject     = 1. / 60 // turned away by its first bytes
+	retryDelay     = 20 * time.Millisecond
+	budgetBurst    = 500 * time.Millisecond // of the budget may be spent at once
 )
 
 // budget lets only so much of this instance's time go into datagrams, whoever sends them.
 type budget struct {
-	perSecond, left float64
-	at              time.Duration
+	perSecond, remaining float64
+	refilledAt           time.Duration
 }
 
 // refill adds what time has brought.
 func (b *budget) refill(now time.Duration) {
-	b.left = min(b.perSecond*budgetPeriod.Seconds(), b.left+b.perSecond*(now-b.at).Seconds())
-	b.at = now
+	b.remaining = min(b.perSecond*budgetBurst.Seconds(), b.remaining+b.perSecond*(now-b.refilledAt).Seconds())
+	b.refilledAt = now
 }
 
 // batchReader is what the two versions of IP have in common.
@@ -45,22 +45,22 @@
 	ReadBatch(ms []ipv4.Message, flags int) (int, error)
 }
 
-// receive reads datagrams until the context ends. When the budget is spent it leaves them to the socket, which drops what it
+// receiveDatagrams reads datagrams until the context ends. When the budget is spent it leaves them to the socket, which drops what it
 // has no room for, at no cost to the ops beside.
-func (c *Carrier) receive(ctx context.Context) error {
+func (c *Carrier) receiveDatagrams(ctx context.Context) error {
 	var conn batchReader = ipv4.NewPacketConn(c.udp)
 	if c.udp.LocalAddr().(*net.UDPAddr).IP.To4() == nil {
 		conn = ipv6.NewPacketConn(c.udp)
 	}
 	c.udp.SetReadBuffer(256 << 10)
-	most := int(c.set.Limits.Datagram) + 1
-	messages := make([]ipv4.Message, batch)
-	buffers := make([]byte, batch*most)
+	most := int(c.settings.Limits.Datagram) + 1
+	messages := make([]ipv4.Message, receiveBatchSize)
+	buffers := make([]byte, receiveBatchSize*most)
 	for i := range messages {
 		messages[i].Buffers = [][]byte{buffers[i*most : (i+1)*most]}
 	}
-	b := budget{perSecond: float64(c.set.Limits.ReceivedPerSecond), at: c.clock.Now()}
-	b.left = b.perSecond * budgetPeriod.Seconds()
+	b := budget{perSecond: float64(c.settings.Limits.ReceivedPerSecond), refilledAt: c.clock.Now()}
+	b.remaining = b.perSecond * budgetBurst.Seconds()
 	pause := time.NewTimer(time.Hour)
 	for ctx.Err() == nil {
 		n, err := conn.ReadBatch(messages, 0)
@@ -70,7 +70,7 @@
 				return nil
 			}
 			// An earlier send's refusal comes back here on some systems; reading goes on, but never in a tight loop.
-			pause.Reset(emptyPause)
+			pause.Reset(retryDelay)
 			select {
 			case <-ctx.Done():
 			case <-pause.C:
@@ -83,17 +83,17 @@
 			size := messages[i].N
 			if size >= most {
 				c.counts.Oversized.Add(1)
-				b.left -= costReject
+				b.remaining -= costReject
 				continue
 			}
-			if b.left < 0 {
+			if b.remaining < 0 {
 				c.counts.Budget.Add(1)
 				continue
 			}
-			b.left -= c.open(messages[i].Buffers[0][:size], b.left)
+			b.remaining -= c.openDatagram(messages[i].Buffers[0][:size], b.remaining)
 		}
-		if b.left < 0 {
-			pause.Reset(emptyPause)
+		if b.remaining < 0 {
+			pause.Reset(retryDelay)
 			select {
 			case <-ctx.Done():
 			case <-pause.C:
@@ -103,43 +103,43 @@
 	return nil
 }
 
-// open proves one datagram and hands it to the node; it returns what that cost of the budget.
-func (c *Carrier) open(d []byte, left float64) (cost float64) {
-	c.bookMu.Lock()
-	meets := c.book.Meets(d)
-	if meets && left < c.budgetForMeeting() {
-		c.bookMu.Unlock()
+// openDatagram proves one datagram and hands it to the node; it returns what that cost of the budget.
+func (c *Carrier) openDatagram(d []byte, left float64) (cost float64) {
+	c.codecMu.Lock()
+	meets := c.codec.Meets(d)
+	if meets && left < c.newPeerReserve() {
+		c.codecMu.Unlock()
 		c.counts.Budget.Add(1)
 		return costReject
 	}
-	got, err := c.book.Open(d, c.dropped)
-	c.bookMu.Unlock()
+	got, err := c.codec.Open(d, c.countDropped)
+	c.codecMu.Unlock()
 	if err != nil {
-		c.dropped(err)
+		c.countDropped(err)
 		switch {
 		case meets:
-			return costMeet
+			return costNewPeer
 		case errors.Is(err, wire.ErrTag):
-			return costTag
+			return costInvalidTag
 		case errors.Is(err, wire.ErrSignature):
-			return costGood
+			return costValid
 		}
 		return costReject
 	}
-	c.do(func() { c.node.Received(c.clock.Now(), got) })
+	c.enqueue(func() { c.node.Received(c.clock.Now(), got) })
 	if meets {
-		return costMeet
+		return costNewPeer
 	}
-	return costGood + float64(len(got.Message.Claims)+len(got.Message.Rumours))/4
+	return costValid + float64(len(got.Message.Claims)+len(got.Message.Rumours))/4
 }
 
-// budgetForMeeting is what must be left for a stranger to be looked at: members come first.
-func (c *Carrier) budgetForMeeting() float64 {
-	return float64(c.set.Limits.ReceivedPerSecond) * budgetPeriod.Seconds() / 2
+// newPeerReserve is what must be left for a stranger to be looked at: members come first.
+func (c *Carrier) newPeerReserve() float64 {
+	return float64(c.settings.Limits.ReceivedPerSecond) * budgetBurst.Seconds() / 2
 }
 
-// dropped counts what was not taken, by cause.
-func (c *Carrier) dropped(err error) {
+// countDropped counts what was not taken, by cause.
+func (c *Carrier) countDropped(err error) {
 	n := &c.counts
 	switch {
 	case errors.Is(err, wire.ErrVersion):
--- a/internal/gossip/carrier/names_test.go
+++ b/internal/gossip/carrier/names_test.go
@@ -14,9 +14,9 @@
 		"borne_out contradicted syncs syncs_failed tells_put_off dropped_form dropped_version dropped_cluster dropped_stranger " +
 		"dropped_tag dropped_signature dropped_expired dropped_authority dropped_budget dropped_queue dropped_oversized " +
 		"dropped_datagrams dropped_streams dropped_streams_failed dropped_unsent"
-	p := newPlace(t)
+	p := newTestCluster(t)
 	var names []string
-	for _, a := range p.start("a", p.ring("a", time.Hour, p.a), nil).Attrs() {
+	for _, a := range p.start("a", p.issueKeyring("a", time.Hour, p.authority), nil).Attrs() {
 		names = append(names, a.Key)
 	}
 	if got := strings.Join(names, " "); got != want {
--- a/internal/gossip/keys/keys.go
+++ b/internal/gossip/keys/keys.go
@@ -84,7 +84,7 @@
 // Key is the ID of the certificate's key.
 func (c *Certificate) Key() gossip.KeyID { return ID(c.Public) }
 
-func (c *Certificate) signed() []byte {
+func (c *Certificate) signedBytes() []byte {
 	bare := *c
 	bare.Signature = nil
 	b, err := Enc.Marshal(&bare)
@@ -159,7 +159,7 @@
 	}
 	id := ID(a.Public)
 	c := &Certificate{Name: name, Public: public, NotAfter: notAfter.Unix(), Authority: id[:]}
-	c.Signature = ed25519.Sign(a.Private, c.signed())
+	c.Signature = ed25519.Sign(a.Private, c.signedBytes())
 	return c, nil
 }
 
@@ -169,7 +169,7 @@
 	Private     ed25519.PrivateKey
 	Authorities []*Authority
 
-	exchange *ecdh.PrivateKey
+	exchangeKey *ecdh.PrivateKey
 }
 
 // NewKeyring puts one together. The certificate must fit the key and count by one of the authorities.
@@ -183,7 +183,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Keyring{Certificate: c, Private: private, Authorities: authorities, exchange: x}
+	k := &Keyring{Certificate: c, Private: private, Authorities: authorities, exchangeKey: x}
 	return k, k.Verify(c, now)
 }
 
@@ -194,7 +194,7 @@
 	}
 	for _, a := range k.Authorities {
 		if id := ID(a.Public); bytes.Equal(id[:], c.Authority) {
-			if !ed25519.Verify(a.Public, c.signed(), c.Signature) {
+			if !ed25519.Verify(a.Public, c.signedBytes(), c.Signature) {
 				return ErrSignature
 			}
 			return nil
@@ -213,7 +213,7 @@
 	if err != nil {
 		return nil, err
 	}
-	secret, err := k.exchange.ECDH(other)
+	secret, err := k.exchangeKey.ECDH(other)
 	if err != nil {
 		return nil, err // a point of low order: nobody's honest key
 	}
@@ -231,33 +231,33 @@
 
 // The kinds of files.
 const (
-	authorityPrivate = "GORSEWELL AUTHORITY PRIVATE KEY"
-	authorityPublic  = "GORSEWELL AUTHORITY"
-	instancePrivate  = "GORSEWELL PRIVATE KEY"
-	certificateKind  = "GORSEWELL CERTIFICATE"
+	pemAuthorityPrivateKey = "GORSEWELL AUTHORITY PRIVATE KEY"
+	pemAuthority           = "GORSEWELL AUTHORITY"
+	pemPrivateKey          = "GORSEWELL PRIVATE KEY"
+	pemCertificate         = "GORSEWELL CERTIFICATE"
 )
 
 // WriteAuthority writes NAME.authority.key, which only the owner may read, and NAME.authority, which goes to all instances.
 func WriteAuthority(dir string, a *Authority) (private, public string, err error) {
 	private, public = filepath.Join(dir, a.Name+".authority.key"), filepath.Join(dir, a.Name+".authority")
-	if err := write(private, authorityPrivate, a.Private.Seed(), a.Name, 0o600); err != nil {
+	if err := writePEM(private, pemAuthorityPrivateKey, a.Private.Seed(), a.Name, 0o600); err != nil {
 		return "", "", err
 	}
-	return private, public, write(public, authorityPublic, a.Public, a.Name, 0o644)
+	return private, public, writePEM(public, pemAuthority, a.Public, a.Name, 0o644)
 }
 
 // WriteKey writes an instance's private key.
 func WriteKey(path string, private ed25519.PrivateKey) error {
-	return write(path, instancePrivate, private.Seed(), "", 0o600)
+	return writePEM(path, pemPrivateKey, private.Seed(), "", 0o600)
 }
 
 // WriteCertificate writes a certificate. One that stands there already is replaced whole.
 func WriteCertificate(path string, c *Certificate) error {
-	return write(path, certificateKind, c.Encode(), c.Name, 0o644)
+	return writePEM(path, pemCertificate, c.Encode(), c.Name, 0o644)
 }
 
-// write replaces a file whole; a private key that stands there already is never written over.
-func write(path, kind string, b []byte, name string, mode os.FileMode) error {
+// writePEM replaces a file whole; a private key that stands there already is never written over.
+func writePEM(path, kind string, b []byte, name string, mode os.FileMode) error {
 	block := &pem.Block{Type: kind, Bytes: b}
 	if name != "" {
 		block.Headers = map[string]string{"Name": name}
@@ -274,7 +274,7 @@
 	return os.Rename(next, path)
 }
 
-func read(path string) (*pem.Block, error) {
+func readPEM(path string) (*pem.Block, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -295,20 +295,20 @@
 
 // Read reads any of the files.
 func Read(path string) (*File, error) {
-	block, err := read(path)
+	block, err := readPEM(path)
 	if err != nil {
 		return nil, err
 	}
 	f := &File{}
 	switch {
-	case block.Type == authorityPrivate && len(block.Bytes) == ed25519.SeedSize:
+	case block.Type == pemAuthorityPrivateKey && len(block.Bytes) == ed25519.SeedSize:
 		private := ed25519.NewKeyFromSeed(block.Bytes)
 		f.Authority = &Authority{block.Headers["Name"], private.Public().(ed25519.PublicKey), private}
-	case block.Type == authorityPublic && len(block.Bytes) == ed25519.PublicKeySize:
+	case block.Type == pemAuthority && len(block.Bytes) == ed25519.PublicKeySize:
 		f.Authority = &Authority{Name: block.Headers["Name"], Public: block.Bytes}
-	case block.Type == instancePrivate && len(block.Bytes) == ed25519.SeedSize:
+	case block.Type == pemPrivateKey && len(block.Bytes) == ed25519.SeedSize:
 		f.Private = ed25519.NewKeyFromSeed(block.Bytes)
-	case block.Type == certificateKind:
+	case block.Type == pemCertificate:
 		if f.Certificate, err = ParseCertificate(block.Bytes); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
--- a/internal/gossip/wire/wire.go
+++ b/internal/gossip/wire/wire.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	version    = 1
-	headerSize = 2 + 1 + 1 + 4 + 8 + 8 + 8 + tagSize
-	tagSize    = 16
-	tagAt      = headerSize - tagSize
-	withCert   = 1
+	protocolVersion = 1
+	headerSize      = 2 + 1 + 1 + 4 + 8 + 8 + 8 + tagSize
+	tagSize         = 16
+	tagOffset       = headerSize - tagSize
+	flagCertificate = 1
 
 	datagramDomain = "gorsewell datagram 1\x00"
 	claimDomain    = "gorsewell claim 1\x00"
@@ -52,48 +52,48 @@
 	ErrAuthority = keys.ErrUnknown
 )
 
-var be = binary.BigEndian
+var byteOrder = binary.BigEndian
 
 // Peer is an instance whose certificate has been proved.
 type Peer struct {
-	Name   string
-	Key    gossip.KeyID
-	Public ed25519.PublicKey
-	Cert   []byte
-	Until  int64 // Unix seconds
-	Shared []byte
-	used   uint64
+	Name    string
+	Key     gossip.KeyID
+	Public  ed25519.PublicKey
+	Cert    []byte
+	Until   int64 // Unix seconds
+	Shared  []byte
+	lastUse uint64
 }
 
 // Book proves and remembers. It belongs to one goroutine at a time.
 type Book struct {
-	ring    *keys.Keyring
-	cluster string
-	tag     uint32 // of the cluster
-	run     uint64
-	clock   func() time.Time // for certificates' ends alone
-	own     gossip.KeyID
-	cert    []byte
-	counter uint64
-
-	peers    map[gossip.KeyID]*Peer
-	mostPeer int
-	uses     uint64
-	proved   map[[16]byte]struct{} // items whose signature has been found to fit
-	provedBy [][16]byte            // the same, oldest first
-	signed   map[uint32][]byte     // rumours of our own, by number
-	signedBy []uint32
+	keyring     *keys.Keyring
+	cluster     string
+	clusterHash uint32 // of the cluster
+	runID       uint64
+	clock       func() time.Time // for certificates' ends alone
+	ownKey      gossip.KeyID
+	certificate []byte
+	counter     uint64
+
+	peers         map[gossip.KeyID]*Peer
+	maxPeers      int
+	useCount      uint64
+	verified      map[[16]byte]struct{} // items whose signature has been found to fit
+	verifiedOrder [][16]byte            // the same, oldest first
+	signedRumours map[uint32][]byte     // rumours of our own, by number
+	signedOrder   []uint32
 }
 
 const (
-	mostProved = 8192
-	mostSigned = 256
+	maxVerified = 8192
+	maxSigned   = 256
 )
 
 // NewBook makes one that keeps at most so many peers.
 func NewBook(ring *keys.Keyring, cluster string, run uint64, peers int, clock func() time.Time) *Book {
-	b := &Book{cluster: cluster, run: run, clock: clock, mostPeer: 2 * peers, proved: map[[16]byte]struct{}{}}
-	b.tag = uint32(xxhash.Sum64String("gorsewell cluster\x00" + cluster))
+	b := &Book{cluster: cluster, runID: run, clock: clock, maxPeers: 2 * peers, verified: map[[16]byte]struct{}{}}
+	b.clusterHash = uint32(xxhash.Sum64String("gorsewell cluster\x00" + cluster))
 	b.Rekey(ring)
 	return b
 }
@@ -102,11 +102,11 @@
 // keys that no longer count.
 func (b *Book) Rekey(ring *keys.Keyring) (ended []gossip.KeyID) {
 	old := b.peers
-	b.ring, b.own, b.cert = ring, ring.Certificate.Key(), ring.Certificate.Encode()
-	b.peers, b.proved, b.provedBy = map[gossip.KeyID]*Peer{}, map[[16]byte]struct{}{}, nil
-	b.signed, b.signedBy = map[uint32][]byte{}, nil
+	b.keyring, b.ownKey, b.certificate = ring, ring.Certificate.Key(), ring.Certificate.Encode()
+	b.peers, b.verified, b.verifiedOrder = map[gossip.KeyID]*Peer{}, map[[16]byte]struct{}{}, nil
+	b.signedRumours, b.signedOrder = map[uint32][]byte{}, nil
 	for id, p := range old {
-		if _, err := b.meet(p.Cert); err != nil {
+		if _, err := b.verifyPeer(p.Cert); err != nil {
 			ended = append(ended, id)
 		}
 	}
@@ -114,7 +114,7 @@
 }
 
 // Own is the instance's own key.
-func (b *Book) Own() gossip.KeyID { return b.own }
+func (b *Book) Own() gossip.KeyID { return b.ownKey }
 
 // Expired gives the keys whose certificates have ended, and forgets them.
 func (b *Book) Expired() (ended []gossip.KeyID) {
@@ -128,8 +128,8 @@
 	return ended
 }
 
-// meet proves a certificate and keeps it.
-func (b *Book) meet(cert []byte) (*Peer, error) {
+// verifyPeer proves a certificate and keeps it.
+func (b *Book) verifyPeer(cert []byte) (*Peer, error) {
 	c, err := keys.ParseCertificate(cert)
 	if err != nil {
 		return nil, ErrForm
@@ -138,17 +138,17 @@
 	if p := b.peers[id]; p != nil && string(p.Cert) == string(cert) {
 		return p, nil
 	}
-	if err := b.ring.Verify(c, b.clock()); err != nil {
+	if err := b.keyring.Verify(c, b.clock()); err != nil {
 		return nil, err
 	}
-	shared, err := b.ring.Shared(c, b.cluster)
+	shared, err := b.keyring.Shared(c, b.cluster)
 	if err != nil {
 		return nil, ErrForm
 	}
-	if len(b.peers) >= b.mostPeer { // the one that was needed longest ago gives way
+	if len(b.peers) >= b.maxPeers { // the one that was needed longest ago gives way
 		var oldest *Peer
 		for _, p := range b.peers {
-			if oldest == nil || p.used < oldest.used || p.used == oldest.used && string(p.Key[:]) < string(oldest.Key[:]) {
+			if oldest == nil || p.lastUse < oldest.lastUse || p.lastUse == oldest.lastUse && string(p.Key[:]) < string(oldest.Key[:]) {
 				oldest = p
 			}
 		}
@@ -159,8 +159,8 @@
 	return p, nil
 }
 
-// peer is one that is known and whose certificate has not ended.
-func (b *Book) peer(id gossip.KeyID) (*Peer, error) {
+// validPeer is one that is known and whose certificate has not ended.
+func (b *Book) validPeer(id gossip.KeyID) (*Peer, error) {
 	p := b.peers[id]
 	if p == nil {
 		return nil, ErrStranger
@@ -168,8 +168,8 @@
 	if b.clock().Unix() > p.Until {
 		return nil, ErrExpired
 	}
-	b.uses++
-	p.used = b.uses
+	b.useCount++
+	p.lastUse = b.useCount
 	return p, nil
 }
 
@@ -185,10 +185,10 @@
 		Clock       int64 // microseconds
 	}
 	claimItem struct {
-		_      struct{} `cbor:",toarray"`
-		Body   []byte
-		Signer []byte // a certificate, or the ID of a key
-		Proof  []byte
+		_         struct{} `cbor:",toarray"`
+		Body      []byte
+		Signer    []byte // a certificate, or the ID of a key
+		Signature []byte
 	}
 	rumourBody struct {
 		_        struct{} `cbor:",toarray"`
@@ -201,11 +201,11 @@
 		Made     int64 // microseconds
 	}
 	rumourItem struct {
-		_     struct{} `cbor:",toarray"`
-		Body  []byte
-		Proof []byte
+		_         struct{} `cbor:",toarray"`
+		Body      []byte
+		Signature []byte
 	}
-	toldItem struct {
+	agedRumour struct {
 		_   struct{} `cbor:",toarray"`
 		Raw []byte   // a rumourItem
 		Age int64    // milliseconds
@@ -219,7 +219,7 @@
 		TargetAt []byte
 		Clock    int64    // microseconds
 		Claims   [][]byte // claimItems
-		Rumours  []toldItem
+		Rumours  []agedRumour
 	}
 	digestBody struct {
 		_       struct{} `cbor:",toarray"`
@@ -231,7 +231,7 @@
 	itemsBody struct {
 		_       struct{} `cbor:",toarray"`
 		Claims  [][]byte
-		Rumours []toldItem
+		Rumours []agedRumour
 		Wants   []gossip.Mark
 		Lacks   []gossip.Mark
 		Alive   []gossip.Mark
@@ -255,7 +255,7 @@
 	return b
 }
 
-func addrOf(b []byte) (a netip.AddrPort, err error) {
+func parseAddr(b []byte) (a netip.AddrPort, err error) {
 	if len(b) > 0 {
 		err = a.UnmarshalBinary(b)
 	}
@@ -268,11 +268,11 @@
 		return c.Raw
 	}
 	body := marshal(&claimBody{Kind: c.Kind, Name: c.Name, Incarnation: c.Incarnation, Run: c.Run, Addr: addrBytes(c.Addr), Clock: c.Clock.Microseconds()})
-	signer := b.cert
+	signer := b.certificate
 	if c.Kind == gossip.Accused {
-		signer = b.own[:]
+		signer = b.ownKey[:]
 	}
-	return marshal(&claimItem{Body: body, Signer: signer, Proof: ed25519.Sign(b.ring.Private, append([]byte(claimDomain+b.cluster+"\x00"), body...))})
+	return marshal(&claimItem{Body: body, Signer: signer, Signature: ed25519.Sign(b.keyring.Private, append([]byte(claimDomain+b.cluster+"\x00"), body...))})
 }
 
 // encodeRumour does so for a rumour. Those of our own are signed once each.
@@ -280,23 +280,23 @@
 	if r.Raw != nil {
 		return r.Raw
 	}
-	if raw := b.signed[r.Number]; raw != nil {
+	if raw := b.signedRumours[r.Number]; raw != nil {
 		return raw
 	}
 	body := marshal(&rumourBody{Key: r.Key[:], Run: r.Run, Server: r.Server, Symptom: r.Symptom, Strength: r.Strength, Number: r.Number,
 		Made: r.Made.Microseconds()})
-	raw := marshal(&rumourItem{Body: body, Proof: ed25519.Sign(b.ring.Private, append([]byte(rumourDomain+b.cluster+"\x00"), body...))})
-	if len(b.signedBy) >= mostSigned {
-		delete(b.signed, b.signedBy[0])
-		b.signedBy = b.signedBy[1:]
+	raw := marshal(&rumourItem{Body: body, Signature: ed25519.Sign(b.keyring.Private, append([]byte(rumourDomain+b.cluster+"\x00"), body...))})
+	if len(b.signedOrder) >= maxSigned {
+		delete(b.signedRumours, b.signedOrder[0])
+		b.signedOrder = b.signedOrder[1:]
 	}
-	b.signed[r.Number] = raw
-	b.signedBy = append(b.signedBy, r.Number)
+	b.signedRumours[r.Number] = raw
+	b.signedOrder = append(b.signedOrder, r.Number)
 	return raw
 }
 
-// fits checks an item's signature, once for each item as long as it is remembered.
-func (b *Book) fits(public ed25519.PublicKey, domain string, body, proof []byte) bool {
+// verifySignature checks an item's signature, once for each item as long as it is remembered.
+func (b *Book) verifySignature(public ed25519.PublicKey, domain string, body, proof []byte) bool {
 	h := sha256.New()
 	h.Write([]byte(domain))
 	h.Write(public)
@@ -304,23 +304,23 @@
 	h.Write(proof)
 	var sum [16]byte
 	copy(sum[:], h.Sum(nil))
-	if _, ok := b.proved[sum]; ok {
+	if _, ok := b.verified[sum]; ok {
 		return true
 	}
 	if len(proof) != ed25519.SignatureSize || !ed25519.Verify(public, append([]byte(domain+b.cluster+"\x00"), body...), proof) {
 		return false
 	}
-	if len(b.provedBy) >= mostProved {
-		delete(b.proved, b.provedBy[0])
-		b.provedBy = b.provedBy[1:]
+	if len(b.verifiedOrder) >= maxVerified {
+		delete(b.verified, b.verifiedOrder[0])
+		b.verifiedOrder = b.verifiedOrder[1:]
 	}
-	b.proved[sum] = struct{}{}
-	b.provedBy = append(b.provedBy, sum)
+	b.verified[sum] = struct{}{}
+	b.verifiedOrder = append(b.verifiedOrder, sum)
 	return true
 }
 
-// claim proves one claim.
-func (b *Book) claim(raw []byte) (c gossip.Claim, err error) {
+// verifyClaim proves one verifyClaim.
+func (b *Book) verifyClaim(raw []byte) (c gossip.Claim, err error) {
 	var item claimItem
 	var body claimBody
 	if keys.Dec.Unmarshal(raw, &item) != nil || keys.Dec.Unmarshal(item.Body, &body) != nil {
@@ -328,45 +328,45 @@
 	}
 	var p *Peer
 	if len(item.Signer) == len(gossip.KeyID{}) {
-		p, err = b.peer(gossip.KeyID(item.Signer))
+		p, err = b.validPeer(gossip.KeyID(item.Signer))
 	} else {
-		p, err = b.meet(item.Signer)
+		p, err = b.verifyPeer(item.Signer)
 	}
 	if err != nil {
 		return c, err
 	}
-	addr, err := addrOf(body.Addr)
+	addr, err := parseAddr(body.Addr)
 	if err != nil || !keys.ValidName(body.Name) || body.Kind < gossip.Alive || body.Kind > gossip.Accused ||
-		(body.Kind == gossip.Accused) == (p.Name == body.Name) || body.Clock < 0 || body.Clock > maxClock ||
+		(body.Kind == gossip.Accused) == (p.Name == body.Name) || body.Clock < 0 || body.Clock > maxClockMicroseconds ||
 		body.Kind == gossip.Alive && !addr.IsValid() {
 		return c, ErrForm
 	}
-	if !b.fits(p.Public, claimDomain, item.Body, item.Proof) {
+	if !b.verifySignature(p.Public, claimDomain, item.Body, item.Signature) {
 		return c, ErrSignature
 	}
 	return gossip.Claim{Kind: body.Kind, Name: body.Name, Incarnation: body.Incarnation, By: p.Name, Key: p.Key, Run: body.Run, Addr: addr,
 		Clock: time.Duration(body.Clock) * time.Microsecond, Raw: raw}, nil
 }
 
-// maxClock is the longest that an instance may claim to have run, in microseconds: a century.
-const maxClock = 100 * 365 * 24 * 3600 * 1e6
+// maxClockMicroseconds is the longest that an instance may claim to have run, in microseconds: a century.
+const maxClockMicroseconds = 100 * 365 * 24 * 3600 * 1e6
 
-// rumour proves one rumour.
-func (b *Book) rumour(t *toldItem) (told gossip.Told, err error) {
+// verifyRumour proves one verifyRumour.
+func (b *Book) verifyRumour(t *agedRumour) (told gossip.Told, err error) {
 	var item rumourItem
 	var body rumourBody
 	if keys.Dec.Unmarshal(t.Raw, &item) != nil || keys.Dec.Unmarshal(item.Body, &body) != nil || len(body.Key) != len(gossip.KeyID{}) ||
-		body.Symptom > gossip.Late || body.Made < 0 || body.Made > maxClock {
+		body.Symptom > gossip.Late || body.Made < 0 || body.Made > maxClockMicroseconds {
 		return told, ErrForm
 	}
-	p, err := b.peer(gossip.KeyID(body.Key))
+	p, err := b.validPeer(gossip.KeyID(body.Key))
 	if err != nil {
 		return told, err
 	}
-	if !b.fits(p.Public, rumourDomain, item.Body, item.Proof) {
+	if !b.verifySignature(p.Public, rumourDomain, item.Body, item.Signature) {
 		return told, ErrSignature
 	}
-	age := time.Duration(min(max(0, t.Age), maxClock/1000)) * time.Millisecond
+	age := time.Duration(min(max(0, t.Age), maxClockMicroseconds/1000)) * time.Millisecond
 	return gossip.Told{Age: age, Rumour: gossip.Rumour{Observer: p.Name, Key: p.Key, Run: body.Run, Server: body.Server, Symptom: body.Symptom,
 		Strength: body.Strength, Number: body.Number, Made: time.Duration(body.Made) * time.Microsecond, Raw: t.Raw}}, nil
 }
@@ -377,7 +377,7 @@
 // Datagram encodes, signs and tags a message for the instance of a key. Nothing is sent to one that is not known. The
 // certificate goes along where a claim of our own does: that is where the receiver may not know us.
 func (b *Book) Datagram(to gossip.KeyID, m *gossip.Message) ([]byte, error) {
-	p, err := b.peer(to)
+	p, err := b.validPeer(to)
 	if err != nil {
 		return nil, err
 	}
@@ -385,39 +385,39 @@
 	flags := byte(0)
 	for i := range m.Claims {
 		if m.Claims[i].Raw == nil && m.Claims[i].Kind != gossip.Accused && i == 0 {
-			flags = withCert
+			flags = flagCertificate
 		}
 		body.Claims = append(body.Claims, b.encodeClaim(&m.Claims[i]))
 	}
 	for i := range m.Rumours {
-		body.Rumours = append(body.Rumours, toldItem{Raw: b.encodeRumour(&m.Rumours[i].Rumour), Age: m.Rumours[i].Age.Milliseconds()})
+		body.Rumours = append(body.Rumours, agedRumour{Raw: b.encodeRumour(&m.Rumours[i].Rumour), Age: m.Rumours[i].Age.Milliseconds()})
 	}
 	b.counter++
 	d := make([]byte, 0, 1400)
-	d = append(d, 'g', 'w', version, flags)
-	d = be.AppendUint32(d, b.tag)
-	d = append(d, b.own[:]...)
-	d = be.AppendUint64(d, b.run)
-	d = be.AppendUint64(d, b.counter)
+	d = append(d, 'g', 'w', protocolVersion, flags)
+	d = byteOrder.AppendUint32(d, b.clusterHash)
+	d = append(d, b.ownKey[:]...)
+	d = byteOrder.AppendUint64(d, b.runID)
+	d = byteOrder.AppendUint64(d, b.counter)
 	d = append(d, make([]byte, tagSize)...)
 	d = append(d, marshal(&body)...)
-	d = append(d, ed25519.Sign(b.ring.Private, b.toSign(d))...)
-	copy(d[tagAt:], tagOf(p.Shared, d))
+	d = append(d, ed25519.Sign(b.keyring.Private, b.signedBytes(d))...)
+	copy(d[tagOffset:], datagramTag(p.Shared, d))
 	return d, nil
 }
 
-// toSign is what a datagram's signature covers: all but the tag, which is made last and differs for each receiver anyway.
-func (b *Book) toSign(d []byte) []byte {
+// signedBytes is what a datagram's signature covers: all but the tag, which is made last and differs for each receiver anyway.
+func (b *Book) signedBytes(d []byte) []byte {
 	s := make([]byte, 0, len(datagramDomain)+len(b.cluster)+1+len(d))
 	s = append(s, datagramDomain...)
 	s = append(append(s, b.cluster...), 0)
-	s = append(s, d[:tagAt]...)
+	s = append(s, d[:tagOffset]...)
 	return append(s, d[headerSize:]...)
 }
 
-func tagOf(secret, d []byte) []byte {
+func datagramTag(secret, d []byte) []byte {
 	m := hmac.New(sha256.New, secret)
-	m.Write(d[:tagAt])
+	m.Write(d[:tagOffset])
 	m.Write(d[headerSize:])
 	return m.Sum(nil)[:tagSize]
 }
@@ -425,7 +425,7 @@
 // Meets tells whether opening a datagram would mean to prove a certificate that is not known yet, which costs most. It looks
 // at a few bytes only.
 func (b *Book) Meets(d []byte) bool {
-	return len(d) > headerSize && d[3]&withCert != 0 && b.peers[gossip.KeyID(d[8:16])] == nil
+	return len(d) > headerSize && d[3]&flagCertificate != 0 && b.peers[gossip.KeyID(d[8:16])] == nil
 }
 
 // Open proves a datagram and decodes it. Items in it that do not hold are left out, and counted by cause in dropped. The
@@ -435,37 +435,37 @@
 	if len(d) < headerSize+ed25519.SignatureSize || d[0] != 'g' || d[1] != 'w' {
 		return out, ErrForm
 	}
-	if d[2] != version {
+	if d[2] != protocolVersion {
 		return out, ErrVersion
 	}
-	if be.Uint32(d[4:]) != b.tag {
+	if byteOrder.Uint32(d[4:]) != b.clusterHash {
 		return out, ErrCluster
 	}
 	id := gossip.KeyID(d[8:16])
 	rest := d[headerSize : len(d)-ed25519.SignatureSize]
-	p, err := b.peer(id)
-	if err == ErrStranger && d[3]&withCert != 0 {
-		p, err = b.introduced(id, rest)
+	p, err := b.validPeer(id)
+	if err == ErrStranger && d[3]&flagCertificate != 0 {
+		p, err = b.verifySender(id, rest)
 	}
 	if err != nil {
 		return out, err
 	}
-	if !hmac.Equal(tagOf(p.Shared, d), d[tagAt:headerSize]) {
+	if !hmac.Equal(datagramTag(p.Shared, d), d[tagOffset:headerSize]) {
 		return out, ErrTag
 	}
-	signed := b.toSign(d[:len(d)-ed25519.SignatureSize])
+	signed := b.signedBytes(d[:len(d)-ed25519.SignatureSize])
 	if !ed25519.Verify(p.Public, signed, d[len(d)-ed25519.SignatureSize:]) {
 		return out, ErrSignature
 	}
-	m, err := b.message(rest, dropped)
+	m, err := b.decodeMessage(rest, dropped)
 	if err != nil {
 		return out, err
 	}
-	return gossip.Datagram{From: p.Name, Key: p.Key, Run: be.Uint64(d[16:]), Counter: be.Uint64(d[24:]), Message: m}, nil
+	return gossip.Datagram{From: p.Name, Key: p.Key, Run: byteOrder.Uint64(d[16:]), Counter: byteOrder.Uint64(d[24:]), Message: m}, nil
 }
 
-// introduced looks into a body that is not proved yet for the certificate of who sent it.
-func (b *Book) introduced(id gossip.KeyID, raw []byte) (*Peer, error) {
+// verifySender looks into a body that is not proved yet for the certificate of who sent it.
+func (b *Book) verifySender(id gossip.KeyID, raw []byte) (*Peer, error) {
 	var body messageBody
 	var item claimItem
 	if keys.Dec.Unmarshal(raw, &body) != nil || len(body.Claims) == 0 || keys.Dec.Unmarshal(body.Claims[0], &item) != nil {
@@ -474,36 +474,36 @@
 	if c, err := keys.ParseCertificate(item.Signer); err != nil || c.Key() != id {
 		return nil, ErrForm
 	}
-	return b.meet(item.Signer)
+	return b.verifyPeer(item.Signer)
 }
 
-func (b *Book) message(raw []byte, dropped func(error)) (*gossip.Message, error) {
+func (b *Book) decodeMessage(raw []byte, dropped func(error)) (*gossip.Message, error) {
 	var body messageBody
 	if err := keys.Dec.Unmarshal(raw, &body); err != nil {
 		return nil, ErrForm
 	}
-	at, err := addrOf(body.TargetAt)
+	at, err := parseAddr(body.TargetAt)
 	if err != nil || body.Kind < gossip.Ping || body.Kind > gossip.Tell || len(body.Claims)+len(body.Rumours) > maxItems ||
-		body.Target != "" && !keys.ValidName(body.Target) || body.Clock < 0 || body.Clock > maxClock {
+		body.Target != "" && !keys.ValidName(body.Target) || body.Clock < 0 || body.Clock > maxClockMicroseconds {
 		return nil, ErrForm
 	}
 	m := &gossip.Message{Kind: body.Kind, Number: body.Number, Prove: body.Prove, Target: body.Target, TargetAt: at,
 		Clock: time.Duration(body.Clock) * time.Microsecond}
-	m.Claims, m.Rumours = b.items(body.Claims, body.Rumours, dropped)
+	m.Claims, m.Rumours = b.verifyItems(body.Claims, body.Rumours, dropped)
 	return m, nil
 }
 
-// items proves claims and rumours; claims first, as they bring the certificates of who made the rumours.
-func (b *Book) items(claims [][]byte, rumours []toldItem, dropped func(error)) (cs []gossip.Claim, rs []gossip.Told) {
+// verifyItems proves claims and rumours; claims first, as they bring the certificates of who made the rumours.
+func (b *Book) verifyItems(claims [][]byte, rumours []agedRumour, dropped func(error)) (cs []gossip.Claim, rs []gossip.Told) {
 	for _, raw := range claims {
-		if c, err := b.claim(raw); err == nil {
+		if c, err := b.verifyClaim(raw); err == nil {
 			cs = append(cs, c)
 		} else {
 			dropped(err)
 		}
 	}
 	for i := range rumours {
-		if t, err := b.rumour(&rumours[i]); err == nil {
+		if t, err := b.verifyRumour(&rumours[i]); err == nil {
 			rs = append(rs, t)
 		} else {
 			dropped(err)
@@ -523,7 +523,7 @@
 	if err := keys.Dec.Unmarshal(raw, &body); err != nil || len(body.Members)+len(body.Dead)+len(body.Rumours) > 3*maxMarks {
 		return nil, ErrForm
 	}
-	own, err := b.claim(body.Own)
+	own, err := b.verifyClaim(body.Own)
 	if err != nil {
 		return nil, err
 	}
@@ -540,7 +540,7 @@
 		body.Claims = append(body.Claims, b.encodeClaim(&i.Claims[j]))
 	}
 	for j := range i.Rumours {
-		body.Rumours = append(body.Rumours, toldItem{Raw: b.encodeRumour(&i.Rumours[j].Rumour), Age: i.Rumours[j].Age.Milliseconds()})
+		body.Rumours = append(body.Rumours, agedRumour{Raw: b.encodeRumour(&i.Rumours[j].Rumour), Age: i.Rumours[j].Age.Milliseconds()})
 	}
 	if i.SeenAt.IsValid() {
 		body.SeenAt, _ = i.SeenAt.MarshalBinary()
@@ -559,7 +559,7 @@
 	if len(body.SeenAt) > 0 && i.SeenAt.UnmarshalBinary(body.SeenAt) != nil {
 		return nil, ErrForm
 	}
-	i.Claims, i.Rumours = b.items(body.Claims, body.Rumours, dropped)
+	i.Claims, i.Rumours = b.verifyItems(body.Claims, body.Rumours, dropped)
 	return i, nil
 }
 
@@ -567,19 +567,19 @@
 const TagSize = tagSize
 
 // Cluster is the mark of the cluster.
-func (b *Book) Cluster() uint32 { return b.tag }
+func (b *Book) Cluster() uint32 { return b.clusterHash }
 
 // Certificate is the instance's own, encoded.
-func (b *Book) Certificate() []byte { return b.cert }
+func (b *Book) Certificate() []byte { return b.certificate }
 
 // Meet proves the certificate of an instance on a stream.
-func (b *Book) Meet(cert []byte) (*Peer, error) { return b.meet(cert) }
+func (b *Book) Meet(cert []byte) (*Peer, error) { return b.verifyPeer(cert) }
 
 // Session tags the frames of one stream, each way by itself and in order.
 type Session struct {
-	key       []byte
-	out, in   uint64
-	outA, inA byte
+	key                     []byte
+	sent, received          uint64
+	sendLabel, receiveLabel byte
 }
 
 // Session makes the one of a stream from both sides' fresh numbers, of who opened it first.
@@ -588,28 +588,28 @@
 	m.Write([]byte("gorsewell stream 1\x00"))
 	m.Write(opener)
 	m.Write(other)
-	s := &Session{key: m.Sum(nil), outA: 'o', inA: 'a'}
+	s := &Session{key: m.Sum(nil), sendLabel: 'o', receiveLabel: 'a'}
 	if !opened {
-		s.outA, s.inA = s.inA, s.outA
+		s.sendLabel, s.receiveLabel = s.receiveLabel, s.sendLabel
 	}
 	return s
 }
 
-func (s *Session) tag(way byte, number uint64, frame []byte) []byte {
+func (s *Session) compute(way byte, number uint64, frame []byte) []byte {
 	m := hmac.New(sha256.New, s.key)
-	m.Write(be.AppendUint64([]byte{way}, number))
+	m.Write(byteOrder.AppendUint64([]byte{way}, number))
 	m.Write(frame)
 	return m.Sum(nil)[:tagSize]
 }
 
 // Seal is the tag of the next frame that goes out.
 func (s *Session) Seal(frame []byte) []byte {
-	s.out++
-	return s.tag(s.outA, s.out, frame)
+	s.sent++
+	return s.compute(s.sendLabel, s.sent, frame)
 }
 
 // Fits checks the tag of the next frame that has come in.
 func (s *Session) Fits(frame, tag []byte) bool {
-	s.in++
-	return hmac.Equal(s.tag(s.inA, s.in, frame), tag)
+	s.received++
+	return hmac.Equal(s.compute(s.receiveLabel, s.received, frame), tag)
 }
