--- a/internal/gossip/carrier/attrs.go
+++ b/internal/gossip/carrier/attrs.go
@@ -10,25 +10,26 @@
 	"gorsewell/internal/gossip"
 )
 
-// attrs is called by the owner of the node.
+// attrs returns the counters. It must be called by the goroutine that owns the node.
 func (c *Carrier) attrs() (all []slog.Attr) {
-	standing := [4]int64{}
+	members := [4]int64{} // by standing
 	for _, p := range c.node.Peers() {
-		standing[p.Standing]++
+		members[p.Standing]++
 	}
-	all = append(all, slog.Int64("alive", standing[gossip.IsAlive]), slog.Int64("suspect", standing[gossip.IsSuspect]),
-		slog.Int64("dead", standing[gossip.IsDead]), slog.Int64("left", standing[gossip.HasLeft]))
-	v := reflect.ValueOf(c.node.Counts())
-	for i := range v.NumField() {
-		all = append(all, slog.Int64(snakeCase(v.Type().Field(i).Name), v.Field(i).Int()))
+	all = append(all, slog.Int64("alive", members[gossip.IsAlive]), slog.Int64("suspect", members[gossip.IsSuspect]),
+		slog.Int64("dead", members[gossip.IsDead]), slog.Int64("left", members[gossip.HasLeft]))
+	nodeCounts := reflect.ValueOf(c.node.Counts())
+	for i := range nodeCounts.NumField() {
+		all = append(all, slog.Int64(snakeCase(nodeCounts.Type().Field(i).Name), nodeCounts.Field(i).Int()))
 	}
-	d := reflect.ValueOf(&c.counts).Elem()
-	for i := range d.NumField() {
-		all = append(all, slog.Int64("dropped_"+snakeCase(d.Type().Field(i).Name), d.Field(i).Addr().Interface().(*atomic.Int64).Load()))
+	ownCounts := reflect.ValueOf(&c.counts).Elem()
+	for i := range ownCounts.NumField() {
+		all = append(all, slog.Int64("dropped_"+snakeCase(ownCounts.Type().Field(i).Name), ownCounts.Field(i).Addr().Interface().(*atomic.Int64).Load()))
 	}
 	return all
 }
 
+// snakeCase converts a Go field name to a log name: StreamsFailed to streams_failed.
 func snakeCase(name string) string {
 	var b strings.Builder
 	for i, r := range name {
--- a/internal/gossip/carrier/carrier.go
+++ b/internal/gossip/carrier/carrier.go
@@ -1,5 +1,7 @@
-// Package carrier carries gossip: datagrams and streams on sockets, keys, and what passes between the gossip and the gateway
-// beside it. It decides nothing. One goroutine owns the node; whatever else happens is handed to it.
+// Package carrier runs the gossip of a gateway instance over UDP and TCP. It sends and receives datagrams, opens and
+// serves streams, manages the keyring, and connects the gossip node to the gateway of the same process. It makes no
+// decisions about members or servers; the node does. One goroutine owns the node, and all other goroutines pass it
+// functions to run.
 package carrier
 
 import (
@@ -25,70 +27,89 @@
 	"gorsewell/internal/gossip/wire"
 )
 
-// Desk is the gateway's side.
+// RumourReceiver is the gateway's side: it receives the rumours about servers of its list.
 type Desk interface {
+	// Rumour reports the weighted number of observers that currently see the server in trouble; 0 when none does any
+	// more.
 	Rumour(server uint32, weight float64)
 }
 
-// Carrier is one instance's gossip.
+// Carrier connects one instance's gossip node to the network and to the gateway. It implements gossip.Host and
+// dispatch.Sharing.
 type Carrier struct {
 	settings config.Gossip
 	name     string
 	clock    exchange.Clock
 	gateway  Desk
-	serverID func(server uint32) string // of servers in the list
+	serverID func(server uint32) string // ID, in the list, of a server that the list names
 
 	udp           *net.UDPConn
 	tcp           *net.TCPListener
-	node          *gossip.Node // owned by Run
+	node          *gossip.Node // used only by the goroutine of Run
 	runID         uint64
-	events        chan func()
-	stopped       chan struct{} // closed when the owner has ended
-	evidence      chan struct{}
-	timer         *time.Timer
-	inboundSlots  chan struct{} // as many as streams may be open
-	outboundSlots chan struct{}
-	tasks         *errgroup.Group
-
-	codecMu sync.Mutex
+	events        chan func()     // run by the goroutine that owns the node
+	stopped       chan struct{}   // closed when the node is no longer owned by a goroutine
+	evidence      chan struct{}   // signals that troubles or acks are not empty
+	timer         *time.Timer     // calls Node.Timer
+	inboundSlots  chan struct{}   // one element for each open inbound stream
+	outboundSlots chan struct{}   // one element for each open outbound stream
+	tasks         *errgroup.Group // receiving, accepting and the open streams
+
+	codecMu sync.Mutex // guards codec
 	codec   *wire.Book
 
-	mu            sync.Mutex // guards what comes from the gateway
-	hashByServer  map[uint32]uint64
-	serverByHash  map[uint64]uint32
-	troubles      map[uint32]choice.Trouble
-	acks          map[uint32]time.Duration
-	listedServers int
+	mu            sync.Mutex                // guards the five fields below and those of the log limit
+	hashByServer  map[uint32]uint64         // servers of the list, with the hashes by which gossip names them
+	serverByHash  map[uint64]uint32         // the inverse of hashByServer
+	troubles      map[uint32]choice.Trouble // latest troubles not passed to the node yet
+	acks          map[uint32]time.Duration  // latest send times of acked sends not passed to the node yet
+	listedServers int                       // length of hashByServer
 
-	rumouredServers atomic.Pointer[map[uint32]struct{}] // servers of which others say something: whose acks matter
+	rumouredServers atomic.Pointer[map[uint32]struct{}] // servers with rumours by others; only their acks matter
 
 	counts          Counts
-	linesLogged     int
-	logWindowStart  time.Duration
-	linesSuppressed int
-	certNotAfter    time.Time
+	linesLogged     int           // in the current log window of one minute
+	logWindowStart  time.Duration // by clock
+	linesSuppressed int           // in the current log window
+	certNotAfter    time.Time     // expiry of the instance's own certificate
 }
 
-// Counts is what the carrier counts by itself: what was dropped, by cause, before it reached the node.
+// Counts holds the carrier's counters. Log names are derived from the names and order of its fields.
 type Counts struct {
-	Form, Version, Cluster, Stranger, Tag, Signature, Expired, Authority atomic.Int64
-	Budget, Queue, Oversized                                             atomic.Int64
-	Datagrams, Streams, StreamsFailed, Unsent                            atomic.Int64
+	// Messages, items and events dropped before they reached the node, by cause.
+	Form      atomic.Int64 // malformed
+	Version   atomic.Int64 // unsupported protocol version
+	Cluster   atomic.Int64 // of another cluster
+	Stranger  atomic.Int64 // unknown key
+	Tag       atomic.Int64 // tag does not match
+	Signature atomic.Int64 // invalid signature
+	Expired   atomic.Int64 // expired certificate
+	Authority atomic.Int64 // certificate of an unknown authority
+	Budget    atomic.Int64 // datagrams beyond the receive budget
+	Queue     atomic.Int64 // events dropped because the event queue was full
+	Oversized atomic.Int64 // datagrams larger than the limit
+
+	Datagrams     atomic.Int64 // received, valid or not
+	Streams       atomic.Int64 // finished, inbound and outbound, failed ones included
+	StreamsFailed atomic.Int64 // failed, or refused because too many inbound ones were open
+	Unsent        atomic.Int64 // datagrams that could not be encoded or sent
 }
 
 const (
-	eventQueueSize       = 256
-	maxOutboundStreams   = 2
+	eventQueueSize       = 256 // functions waiting for the goroutine that owns the node
+	maxOutboundStreams   = 2   // open at once
 	maxLogLinesPerMinute = 30
 	seedLookupInterval   = 30 * time.Second
 )
 
-// New opens the sockets. Run does the work, and closes them.
-func New(set config.Gossip, name string, ring *keys.Keyring, clock exchange.Clock, desk Desk, ids func(uint32) string) (*Carrier, error) {
-	if ring.Certificate.Name != name {
-		return nil, fmt.Errorf("the certificate is of %q, this instance is %q", ring.Certificate.Name, name)
+// New returns a carrier with open sockets. Run does the work and closes them. The keyring's certificate must be for
+// the given name. The function serverID returns the ID, in the list, of a server that the list names.
+func New(settings config.Gossip, name string, keyring *keys.Keyring, clock exchange.Clock, gateway Desk,
+	serverID func(uint32) string) (*Carrier, error) {
+	if keyring.Certificate.Name != name {
+		return nil, fmt.Errorf("certificate is for instance %q, expected %q", keyring.Certificate.Name, name)
 	}
-	addr, err := net.ResolveUDPAddr("udp", set.Listen)
+	addr, err := net.ResolveUDPAddr("udp", settings.Listen)
 	if err != nil {
 		return nil, err
 	}
@@ -96,33 +117,34 @@
 	if err != nil {
 		return nil, err
 	}
-	own := udp.LocalAddr().(*net.UDPAddr).AddrPort()
-	own = netip.AddrPortFrom(own.Addr().Unmap(), own.Port())
-	if set.Advertise != "" {
-		a, err := net.ResolveUDPAddr("udp", set.Advertise)
+	ownAddr := udp.LocalAddr().(*net.UDPAddr).AddrPort()
+	ownAddr = netip.AddrPortFrom(ownAddr.Addr().Unmap(), ownAddr.Port())
+	if settings.Advertise != "" {
+		a, err := net.ResolveUDPAddr("udp", settings.Advertise)
 		if err != nil {
 			return nil, errors.Join(err, udp.Close(), tcp.Close())
 		}
-		own = netip.AddrPortFrom(a.AddrPort().Addr().Unmap(), a.AddrPort().Port())
+		ownAddr = netip.AddrPortFrom(a.AddrPort().Addr().Unmap(), a.AddrPort().Port())
 	}
-	c := &Carrier{settings: set, name: name, clock: clock, gateway: desk, serverID: ids, udp: udp, tcp: tcp, events: make(chan func(), eventQueueSize),
-		stopped: make(chan struct{}), evidence: make(chan struct{}, 1), timer: time.NewTimer(time.Hour), inboundSlots: make(chan struct{}, set.Limits.Streams), outboundSlots: make(chan struct{}, maxOutboundStreams),
+	c := &Carrier{settings: settings, name: name, clock: clock, gateway: gateway, serverID: serverID, udp: udp, tcp: tcp, events: make(chan func(), eventQueueSize),
+		stopped: make(chan struct{}), evidence: make(chan struct{}, 1), timer: time.NewTimer(time.Hour), inboundSlots: make(chan struct{}, settings.Limits.Streams), outboundSlots: make(chan struct{}, maxOutboundStreams),
 		hashByServer: map[uint32]uint64{}, serverByHash: map[uint64]uint32{}, troubles: map[uint32]choice.Trouble{}, acks: map[uint32]time.Duration{}}
 	c.rumouredServers.Store(&map[uint32]struct{}{})
-	run := rand.Uint64()
-	c.runID = run
-	c.codec = wire.NewBook(ring, set.Cluster, run, set.Limits.Members, time.Now)
-	c.certNotAfter = time.Unix(ring.Certificate.NotAfter, 0)
-	l := &set.Limits
-	c.node = gossip.New(c, gossip.Setup{Name: name, Key: ring.Certificate.Key(), Run: run, Seed: rand.Uint64(), Addr: own,
-		Learn: own.Addr().IsUnspecified(), ProbeEvery: set.ProbeEvery, ProbeTimeout: set.ProbeTimeout, SuspectFor: set.SuspectFor,
-		TellEvery: set.TellEvery, SyncEvery: set.SyncEvery, RumourLife: set.RumourLife, Members: l.Members, Rumours: l.Rumours,
-		RumoursPerObserver: l.RumoursPerObserver, ObserversPerServer: l.ObserversPerServer, Datagram: int(l.Datagram),
-		DatagramsPerTell: l.DatagramsPerTell, BytesPerSecond: int(l.BytesPerSecond), Seeds: c.resolveSeeds(context.Background(), true)})
+	runID := rand.Uint64()
+	c.runID = runID
+	c.codec = wire.NewBook(keyring, settings.Cluster, runID, settings.Limits.Members, time.Now)
+	c.certNotAfter = time.Unix(keyring.Certificate.NotAfter, 0)
+	limits := &settings.Limits
+	c.node = gossip.New(c, gossip.Setup{Name: name, Key: keyring.Certificate.Key(), Run: runID, Seed: rand.Uint64(), Addr: ownAddr,
+		Learn: ownAddr.Addr().IsUnspecified(), ProbeEvery: settings.ProbeEvery, ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor,
+		TellEvery: settings.TellEvery, SyncEvery: settings.SyncEvery, RumourLife: settings.RumourLife, Members: limits.Members, Rumours: limits.Rumours,
+		RumoursPerObserver: limits.RumoursPerObserver, ObserversPerServer: limits.ObserversPerServer, Datagram: int(limits.Datagram),
+		DatagramsPerTell: limits.DatagramsPerTell, BytesPerSecond: int(limits.BytesPerSecond), Seeds: c.resolveSeeds(context.Background(), true)})
 	return c, nil
 }
 
-// listen opens one port for datagrams and streams. Where any port will do, one is looked for that is free for both.
+// listen opens the same port for UDP and TCP. With port 0 it tries up to 20 ports that the system chooses until one
+// is free for both.
 func listen(addr *net.UDPAddr) (udp *net.UDPConn, tcp *net.TCPListener, err error) {
 	for range 20 {
 		if udp, err = net.ListenUDP("udp", addr); err != nil {
@@ -140,17 +162,18 @@
 	return nil, nil, err
 }
 
-// Addr is where the carrier listens.
+// Addr returns the address at which the carrier listens.
 func (c *Carrier) Addr() netip.AddrPort { return c.udp.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// resolveSeeds finds where the seeds are. Names are looked up only if that may take its time.
-func (c *Carrier) resolveSeeds(ctx context.Context, atOnce bool) (seeds []netip.AddrPort) {
+// resolveSeeds returns the addresses of the seeds. With literalOnly it skips seeds given by name instead of looking
+// them up, which can block.
+func (c *Carrier) resolveSeeds(ctx context.Context, literalOnly bool) (seeds []netip.AddrPort) {
 	for _, s := range c.settings.Seeds {
 		if a, err := netip.ParseAddrPort(s); err == nil {
 			seeds = append(seeds, a)
 			continue
 		}
-		if atOnce {
+		if literalOnly {
 			continue
 		}
 		host, port, _ := net.SplitHostPort(s)
@@ -170,7 +193,7 @@
 	return seeds
 }
 
-// Run gossips until the context ends, and then says that it leaves.
+// Run runs the gossip until the context ends, and then tells other members that this instance leaves.
 func (c *Carrier) Run(ctx context.Context) error {
 	group, inner := errgroup.WithContext(ctx)
 	c.tasks = group
@@ -194,11 +217,12 @@
 	return err
 }
 
+// hasSeedNames reports whether any seed is given by name.
 func (c *Carrier) hasSeedNames() bool {
 	return len(c.resolveSeeds(context.Background(), true)) < len(c.settings.Seeds)
 }
 
-// refreshSeeds looks seeds up by name, now and again: they may move.
+// refreshSeeds looks up the seeds given by name at intervals, as their addresses may change.
 func (c *Carrier) refreshSeeds(ctx context.Context) error {
 	for {
 		limited, cancel := context.WithTimeout(ctx, 5*time.Second)
@@ -215,7 +239,7 @@
 	}
 }
 
-// runNode is the goroutine that the node belongs to.
+// runNode owns the node: until the context ends only its goroutine calls the node's methods.
 func (c *Carrier) runNode(ctx context.Context) {
 	c.node.Start(c.clock.Now())
 	minute := time.NewTicker(time.Minute)
@@ -236,7 +260,7 @@
 	}
 }
 
-// enqueue hands something to the owner; false if that has too much to enqueue.
+// enqueue passes a function to the goroutine that owns the node. It returns false if the queue is full.
 func (c *Carrier) enqueue(f func()) bool {
 	select {
 	case c.events <- f:
@@ -247,12 +271,13 @@
 	}
 }
 
-// checkExpiry ends what certificates no longer bear.
+// checkExpiry removes peers whose certificates have expired, and logs if the instance's own has expired or expires
+// within a day.
 func (c *Carrier) checkExpiry() {
 	c.codecMu.Lock()
-	ended := c.codec.Expired()
+	expired := c.codec.Expired()
 	c.codecMu.Unlock()
-	for _, id := range ended {
+	for _, id := range expired {
 		c.node.Expelled(c.clock.Now(), id)
 	}
 	if left := time.Until(c.certNotAfter); left < 0 {
@@ -262,25 +287,25 @@
 	}
 }
 
-// Rekey goes on with another keyring: a certificate of the same name, other authorities, or both.
+// Rekey replaces the keyring. The new certificate must be for the same name; the key and the authorities may differ.
 func (c *Carrier) Rekey(ring *keys.Keyring) error {
 	if ring.Certificate.Name != c.name {
-		return fmt.Errorf("the certificate is of %q, this instance is %q", ring.Certificate.Name, c.name)
+		return fmt.Errorf("certificate is for instance %q, expected %q", ring.Certificate.Name, c.name)
 	}
 	done := make(chan struct{})
 	if !c.enqueue(func() {
 		defer close(done)
 		c.codecMu.Lock()
-		ended := c.codec.Rekey(ring)
+		rejected := c.codec.Rekey(ring)
 		c.codecMu.Unlock()
 		c.certNotAfter = time.Unix(ring.Certificate.NotAfter, 0)
 		now := c.clock.Now()
 		c.node.Rekey(now, ring.Certificate.Key())
-		for _, id := range ended {
+		for _, id := range rejected {
 			c.node.Expelled(now, id)
 		}
 	}) {
-		return errors.New("too busy to change keys")
+		return errors.New("keyring not replaced: event queue is full")
 	}
 	select {
 	case <-done:
@@ -289,7 +314,7 @@
 	return nil
 }
 
-// Datagram implements gossip.Host, as do Exchange, Wake, Rumoured and Log.
+// Datagram signs a message and sends it. It implements gossip.Host, as do Exchange, Wake, Rumoured and Log.
 func (c *Carrier) Datagram(to netip.AddrPort, key gossip.KeyID, m *gossip.Message) {
 	c.codecMu.Lock()
 	d, err := c.codec.Datagram(key, m)
@@ -302,10 +327,10 @@
 	}
 }
 
-// Wake sets the one timer.
+// Wake sets the timer that calls Node.Timer.
 func (c *Carrier) Wake(at time.Duration) { c.timer.Reset(max(0, at-c.clock.Now())) }
 
-// Rumoured tells the gateway, if the server is one that its list names.
+// Rumoured reports the weight of a server's rumours to the gateway if its list names the server.
 func (c *Carrier) Rumoured(server uint64, weight float64) {
 	c.mu.Lock()
 	id, ok := c.serverByHash[server]
@@ -315,6 +340,7 @@
 	}
 }
 
+// reportRumour passes a weight to the gateway and updates rumouredServers.
 func (c *Carrier) reportRumour(id uint32, weight float64) {
 	old := *c.rumouredServers.Load()
 	if _, had := old[id]; had != (weight > 0) {
@@ -332,7 +358,7 @@
 	c.gateway.Rumour(id, weight)
 }
 
-// Log writes what an operator wants to know, as long as it is not too much of it.
+// Log writes an event to the log, unless the limit of lines per minute is reached.
 func (c *Carrier) Log(event, name string) { c.log(slog.LevelInfo, event, name) }
 
 func (c *Carrier) log(level slog.Level, event, name string) {
@@ -345,25 +371,27 @@
 		c.linesLogged, c.logWindowStart, c.linesSuppressed = 0, now, 0
 	}
 	c.linesLogged++
-	tell := c.linesLogged <= maxLogLinesPerMinute
-	if !tell {
+	withinLimit := c.linesLogged <= maxLogLinesPerMinute
+	if !withinLimit {
 		c.linesSuppressed++
 	}
 	c.mu.Unlock()
-	if tell {
+	if withinLimit {
 		slog.Log(context.Background(), level, "gossip", "what", event, "name", name)
 	}
 }
 
-// Trouble implements dispatch.Sharing, as do Acked, Forget and Listed. They are called with the gateway's lock held.
+// Trouble records the gateway's own trouble with a server. It implements dispatch.Sharing, as do Acked, Forget and
+// Listed. They are called with the gateway's lock held and must not block.
 func (c *Carrier) Trouble(server uint32, t choice.Trouble) {
 	c.mu.Lock()
-	c.troubles[server] = t // the newest word counts
+	c.troubles[server] = t // a newer trouble replaces an older one
 	c.mu.Unlock()
 	c.signalEvidence()
 }
 
-// Acked matters only for servers of which others say that they are in trouble.
+// Acked records an acked send to a server. It matters only for servers with rumours by others and is
+// ignored for all others.
 func (c *Carrier) Acked(server uint32, sentAt time.Duration) {
 	if _, ok := (*c.rumouredServers.Load())[server]; !ok {
 		return
@@ -374,7 +402,7 @@
 	c.signalEvidence()
 }
 
-// Forget drops a server that has gone, and with it the gateway's own trouble with it.
+// Forget removes a server that the list no longer names, and withdraws the gateway's own trouble with it.
 func (c *Carrier) Forget(server uint32) {
 	c.mu.Lock()
 	hash, ok := c.hashByServer[server]
@@ -399,26 +427,26 @@
 	return c.listedServers
 }
 
-// Listed takes servers that the list names. What is said of one that is new here is told to the gateway then.
+// Listed adds servers that the list names. Rumours that already exist about a new one are now reported to the gateway.
 func (c *Carrier) Listed(addrs map[uint32]string) {
 	c.mu.Lock()
-	var fresh []uint32
+	var added []uint32
 	for id := range addrs {
 		if _, ok := c.hashByServer[id]; !ok {
 			hash := xxhash.Sum64String(c.serverID(id))
 			c.hashByServer[id], c.serverByHash[hash] = hash, id
-			fresh = append(fresh, id)
+			added = append(added, id)
 		}
 	}
 	c.listedServers = len(c.hashByServer)
 	c.mu.Unlock()
-	if len(fresh) == 0 {
+	if len(added) == 0 {
 		return
 	}
 	c.enqueue(func() {
 		now := c.clock.Now()
 		c.node.Servers(now, c.listedServerCount())
-		for _, id := range fresh {
+		for _, id := range added {
 			c.mu.Lock()
 			hash, ok := c.hashByServer[id]
 			c.mu.Unlock()
@@ -429,6 +457,7 @@
 	})
 }
 
+// signalEvidence wakes the goroutine that owns the node to call deliverEvidence.
 func (c *Carrier) signalEvidence() {
 	select {
 	case c.evidence <- struct{}{}:
@@ -436,7 +465,7 @@
 	}
 }
 
-// deliverEvidence hands the gateway's own evidence to the node.
+// deliverEvidence passes the recorded troubles and acks to the node.
 func (c *Carrier) deliverEvidence() {
 	c.mu.Lock()
 	troubles, acks := c.troubles, c.acks
@@ -472,20 +501,21 @@
 	}
 }
 
-// Peers lists the members as the node holds them now; nothing if it is too busy to say.
+// Peers returns the members that the node currently knows; nil if it does not answer in time.
 func (c *Carrier) Peers() []gossip.Peer {
 	peers, _ := callNode(c, c.node.Peers)
 	return peers
 }
 
-// RunNumber is drawn at the start of this instance; all that it signs bears it.
+// RunID returns the random ID of this run of the instance. It is part of each datagram, claim and rumour of the run.
 func (c *Carrier) RunNumber() uint64 { return c.runID }
 
-// Attrs gives the counters for a log line: how members stand, what the node has counted, what was dropped before it.
+// Attrs returns the counters for a log line: the number of members by state, the node's counters, and the carrier's
+// own. It returns nil if the event queue is full.
 func (c *Carrier) Attrs() (all []slog.Attr) {
 	select {
 	case <-c.stopped:
-		return c.attrs() // nobody else looks at the node any more
+		return c.attrs() // no other goroutine uses the node any more
 	default:
 	}
 	got := make(chan []slog.Attr, 1)
--- a/internal/gossip/carrier/carrier_test.go
+++ b/internal/gossip/carrier/carrier_test.go
@@ -21,11 +21,11 @@
 	"gorsewell/internal/gossip/keys"
 )
 
-// testCluster is an authority with its instances on loopback.
+// testCluster is a set of instances on loopback with certificates of one authority.
 type testCluster struct {
 	t         *testing.T
 	authority *keys.Authority
-	seeds     []string
+	seeds     []string // addresses of the instances started so far
 }
 
 func newTestCluster(t *testing.T) *testCluster {
@@ -36,41 +36,44 @@
 	return &testCluster{t: t, authority: a}
 }
 
-func (p *testCluster) issueKeyring(name string, lasts time.Duration, by *keys.Authority, counts ...*keys.Authority) *keys.Keyring {
-	p.t.Helper()
+// issueKeyring returns a keyring with a new key and a certificate by the issuer. The issuer's certificates and those
+// of the other accepted authorities are valid for it.
+func (tc *testCluster) issueKeyring(name string, validity time.Duration, issuer *keys.Authority, accepted ...*keys.Authority) *keys.Keyring {
+	tc.t.Helper()
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		p.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	c, err := by.Issue(name, public, time.Now().Add(lasts))
+	c, err := issuer.Issue(name, public, time.Now().Add(validity))
 	if err != nil {
-		p.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	k, err := keys.NewKeyring(c, private, append(counts, by), time.Now())
+	k, err := keys.NewKeyring(c, private, append(accepted, issuer), time.Now())
 	if err != nil {
-		p.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
 	return k
 }
 
-// rumourRecorder writes down what the gateway would be told.
+// rumourRecorder records the weights that the carrier reports to the gateway.
 type rumourRecorder struct {
 	mu      sync.Mutex
 	weights map[uint32]float64
 }
 
-func (d *rumourRecorder) Rumour(server uint32, weight float64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.weights[server] = weight
+func (r *rumourRecorder) Rumour(server uint32, weight float64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.weights[server] = weight
 }
 
-func (d *rumourRecorder) weight(server uint32) float64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.weights[server]
+func (r *rumourRecorder) weight(server uint32) float64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.weights[server]
 }
 
+// instance is a running carrier.
 type instance struct {
 	*Carrier
 	recorder *rumourRecorder
@@ -78,29 +81,31 @@
 	done     chan error
 }
 
-// start starts an instance; the first are the others' seeds. Its times are short, as a test waits for them.
-func (p *testCluster) start(name string, ring *keys.Keyring, change func(*config.Gossip)) *instance {
-	p.t.Helper()
+// start starts an instance with the instances started before it as seeds. Its intervals are short, as tests wait for
+// them.
+func (tc *testCluster) start(name string, keyring *keys.Keyring, change func(*config.Gossip)) *instance {
+	tc.t.Helper()
 	s := config.Default().Gossip
-	s.Enabled, s.Cluster, s.Listen, s.Seeds = true, "test", "127.0.0.1:0", p.seeds
+	s.Enabled, s.Cluster, s.Listen, s.Seeds = true, "test", "127.0.0.1:0", tc.seeds
 	s.ProbeEvery, s.ProbeTimeout, s.SuspectFor, s.TellEvery, s.SyncEvery = 200*time.Millisecond, 80*time.Millisecond, 600*time.Millisecond, 40*time.Millisecond, time.Second
 	if change != nil {
 		change(&s)
 	}
-	d := &rumourRecorder{weights: map[uint32]float64{}}
-	c, err := New(s, name, ring, exchange.StartClock(), d, func(id uint32) string { return fmt.Sprint("s-", id) })
+	recorder := &rumourRecorder{weights: map[uint32]float64{}}
+	c, err := New(s, name, keyring, exchange.StartClock(), recorder, func(id uint32) string { return fmt.Sprint("s-", id) })
 	if err != nil {
-		p.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	i := &instance{c, d, stop, make(chan error, 1)}
+	i := &instance{c, recorder, stop, make(chan error, 1)}
 	go func() { i.done <- c.Run(ctx) }()
-	p.t.Cleanup(i.shutdown)
-	p.seeds = append(p.seeds, c.Addr().String())
+	tc.t.Cleanup(i.shutdown)
+	tc.seeds = append(tc.seeds, c.Addr().String())
 	c.Listed(map[uint32]string{1: "", 2: "", 3: "", 4: "", 5: "", 6: "", 7: "", 8: "", 9: ""})
 	return i
 }
 
+// shutdown stops the instance and waits for it to end.
 func (i *instance) shutdown() {
 	i.stop()
 	if i.done != nil {
@@ -109,7 +114,7 @@
 	}
 }
 
-// countStanding counts the members that an instance holds so.
+// countStanding returns the number of members with a standing, as the instance sees it.
 func (i *instance) countStanding(s gossip.Standing) (count int) {
 	peers, _ := callNode(i.Carrier, i.node.Peers)
 	for _, p := range peers {
@@ -120,222 +125,226 @@
 	return count
 }
 
-func (p *testCluster) waitUntil(what string, holds func() bool) {
-	p.t.Helper()
-	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(10 * time.Millisecond) {
+// waitUntil waits up to 20 s for a condition and fails the test if it does not become true.
+func (tc *testCluster) waitUntil(what string, condition func() bool) {
+	tc.t.Helper()
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("not within 20 s: %s", what)
+			tc.t.Fatalf("condition not met within 20 s: %s", what)
 		}
 	}
 }
 
-func TestInstancesFindOneAnotherShareAndLeave(t *testing.T) {
-	p := newTestCluster(t)
+func TestInstancesJoinShareRumoursAndLeave(t *testing.T) {
+	tc := newTestCluster(t)
 	var all []*instance
 	for n := range 5 {
 		name := fmt.Sprint("n", n)
-		all = append(all, p.start(name, p.issueKeyring(name, time.Hour, p.authority), nil))
+		all = append(all, tc.start(name, tc.issueKeyring(name, time.Hour, tc.authority), nil))
 	}
 	for _, i := range all {
-		p.waitUntil(i.name+" knows all", func() bool { return i.countStanding(gossip.IsAlive) == 4 })
+		tc.waitUntil(i.name+" knows all 4 others", func() bool { return i.countStanding(gossip.IsAlive) == 4 })
 	}
 	for _, i := range all[:4] {
 		i.Trouble(3, choice.Silence)
 	}
-	p.waitUntil("the fifth hears of server 3", func() bool { return all[4].recorder.weight(3) > 1 })
+	tc.waitUntil("the fifth instance has a rumour about server 3", func() bool { return all[4].recorder.weight(3) > 1 })
 	if all[4].recorder.weight(2) != 0 {
-		t.Error("a server of which nobody spoke")
+		t.Error("server 2, which no instance reported: got a weight, want 0")
 	}
 	for _, i := range all[:4] {
 		i.Trouble(3, choice.NoTrouble)
 	}
-	p.waitUntil("it ends", func() bool { return all[4].recorder.weight(3) == 0 })
+	tc.waitUntil("the rumour about server 3 is withdrawn", func() bool { return all[4].recorder.weight(3) == 0 })
 	all[0].shutdown()
-	p.waitUntil("the first has left", func() bool { return all[4].countStanding(gossip.HasLeft) == 1 })
+	tc.waitUntil("the fifth instance holds the first as left", func() bool { return all[4].countStanding(gossip.HasLeft) == 1 })
 }
 
-// What is said of a server before this gateway's list names it is told when it does.
-func TestARumourWaitsForTheList(t *testing.T) {
-	p := newTestCluster(t)
-	a, b := p.start("a", p.issueKeyring("a", time.Hour, p.authority), nil), p.start("b", p.issueKeyring("b", time.Hour, p.authority), nil)
-	p.waitUntil("they meet", func() bool { return a.countStanding(gossip.IsAlive) == 1 && b.countStanding(gossip.IsAlive) == 1 })
+// A rumour about a server that the gateway's list does not name yet is reported to the gateway when the list names it.
+func TestRumourIsReportedOnceListNamesServer(t *testing.T) {
+	tc := newTestCluster(t)
+	a, b := tc.start("a", tc.issueKeyring("a", time.Hour, tc.authority), nil), tc.start("b", tc.issueKeyring("b", time.Hour, tc.authority), nil)
+	tc.waitUntil("a and b are members of each other", func() bool { return a.countStanding(gossip.IsAlive) == 1 && b.countStanding(gossip.IsAlive) == 1 })
 	b.Forget(7)
 	a.Trouble(7, choice.Unreachable)
-	p.waitUntil("b holds it", func() bool {
+	tc.waitUntil("b holds the rumour", func() bool {
 		w, err := callNode(b.Carrier, func() float64 { return b.node.Weight(0, xxhash.Sum64String("s-7")) })
 		return err == nil && w > 0
 	})
 	if b.recorder.weight(7) != 0 {
-		t.Error("told of a server that the list does not name")
+		t.Error("rumour about a server that the list does not name: got a report, want none")
 	}
 	b.Listed(map[uint32]string{7: ""})
-	p.waitUntil("b is told", func() bool { return b.recorder.weight(7) > 0 })
+	tc.waitUntil("the rumour is reported to b's gateway", func() bool { return b.recorder.weight(7) > 0 })
 }
 
-func TestStrangersForeignersAndTheExpiredStayOut(t *testing.T) {
-	p := newTestCluster(t)
-	a := p.start("a", p.issueKeyring("a", time.Hour, p.authority), nil)
-	b := p.start("b", p.issueKeyring("b", time.Hour, p.authority), nil)
-	p.waitUntil("they meet", func() bool { return a.countStanding(gossip.IsAlive) == 1 })
+func TestForeignInstancesAreRejected(t *testing.T) {
+	tc := newTestCluster(t)
+	a := tc.start("a", tc.issueKeyring("a", time.Hour, tc.authority), nil)
+	b := tc.start("b", tc.issueKeyring("b", time.Hour, tc.authority), nil)
+	tc.waitUntil("b is a member at a", func() bool { return a.countStanding(gossip.IsAlive) == 1 })
 	other, err := keys.NewAuthority("other")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.start("foreign", p.issueKeyring("foreign", time.Hour, other, p.authority), nil)
-	p.start("elsewhere", p.issueKeyring("elsewhere", time.Hour, p.authority), func(s *config.Gossip) { s.Cluster = "another" })
-	p.waitUntil("they tried", func() bool {
+	tc.start("foreign", tc.issueKeyring("foreign", time.Hour, other, tc.authority), nil)
+	tc.start("elsewhere", tc.issueKeyring("elsewhere", time.Hour, tc.authority), func(s *config.Gossip) { s.Cluster = "another" })
+	tc.waitUntil("the foreign instances have been rejected", func() bool {
 		return a.counts.Authority.Load()+b.counts.Authority.Load() > 1 && a.counts.Cluster.Load()+b.counts.Cluster.Load() > 1
 	})
 	if a.countStanding(gossip.IsAlive) != 1 || b.countStanding(gossip.IsAlive) != 1 {
-		t.Error("somebody got in")
+		t.Error("members after foreign instances tried to join: got more or fewer than 1, want 1")
 	}
-	if _, err := keys.NewKeyring(p.issueKeyring("x", time.Hour, p.authority).Certificate, p.issueKeyring("x", time.Hour, p.authority).Private, nil, time.Now()); err == nil {
-		t.Error("a certificate of another key was taken")
+	if _, err := keys.NewKeyring(tc.issueKeyring("x", time.Hour, tc.authority).Certificate, tc.issueKeyring("x", time.Hour, tc.authority).Private, nil, time.Now()); err == nil {
+		t.Error("NewKeyring with a certificate for another key: got no error, want one")
 	}
-	if _, err := New(config.Gossip{Listen: "127.0.0.1:0"}, "a", p.issueKeyring("b", time.Hour, p.authority), exchange.StartClock(), nil, nil); err == nil ||
-		!strings.Contains(err.Error(), `is of "b"`) {
-		t.Errorf("another's certificate: %v", err)
+	if _, err := New(config.Gossip{Listen: "127.0.0.1:0"}, "a", tc.issueKeyring("b", time.Hour, tc.authority), exchange.StartClock(), nil, nil); err == nil ||
+		!strings.Contains(err.Error(), `is for instance "b"`) {
+		t.Errorf("New with the certificate of instance b: got error %v, want one that names b", err)
 	}
 }
 
-// Both authorities count, then all certificates are of the new one, then the old one counts no more; whoever has not kept up
-// is out, and everybody else hears each other all the time.
-func TestKeysRotateWhileItRuns(t *testing.T) {
-	p := newTestCluster(t)
-	rings := map[string]*keys.Keyring{}
+// The authority is rotated in three steps: all instances accept both authorities, then get certificates of the new
+// one, then reject the old one. An instance that keeps its old certificate is expelled; the others stay members
+// throughout.
+func TestAuthorityRotationKeepsMembers(t *testing.T) {
+	tc := newTestCluster(t)
+	keyrings := map[string]*keys.Keyring{}
 	var all []*instance
 	for n := range 4 {
 		name := fmt.Sprint("n", n)
-		rings[name] = p.issueKeyring(name, time.Hour, p.authority)
-		all = append(all, p.start(name, rings[name], nil))
+		keyrings[name] = tc.issueKeyring(name, time.Hour, tc.authority)
+		all = append(all, tc.start(name, keyrings[name], nil))
 	}
-	know := func(count int, who ...*instance) {
+	waitForMembers := func(count int, instances ...*instance) {
 		t.Helper()
-		for _, i := range who {
-			p.waitUntil(fmt.Sprintf("%s knows %d", i.name, count), func() bool { return i.countStanding(gossip.IsAlive) == count })
+		for _, i := range instances {
+			tc.waitUntil(fmt.Sprintf("%s knows %d members", i.name, count), func() bool { return i.countStanding(gossip.IsAlive) == count })
 		}
 	}
-	know(3, all...)
+	waitForMembers(3, all...)
 	next, err := keys.NewAuthority("next")
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := func(i *instance, by *keys.Authority, counts ...*keys.Authority) {
+	rekey := func(i *instance, issuer *keys.Authority, accepted ...*keys.Authority) {
 		t.Helper()
-		old := rings[i.name]
-		c, err := by.Issue(i.name, old.Certificate.Public, time.Now().Add(time.Hour))
+		old := keyrings[i.name]
+		c, err := issuer.Issue(i.name, old.Certificate.Public, time.Now().Add(time.Hour))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ring, err := keys.NewKeyring(c, old.Private, counts, time.Now())
+		keyring, err := keys.NewKeyring(c, old.Private, accepted, time.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
-		rings[i.name] = ring
-		if err := i.Rekey(ring); err != nil {
+		keyrings[i.name] = keyring
+		if err := i.Rekey(keyring); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, i := range all {
-		again(i, p.authority, p.authority, next)
+		rekey(i, tc.authority, tc.authority, next)
 	}
 	for _, i := range all[:3] {
-		again(i, next, p.authority, next)
+		rekey(i, next, tc.authority, next)
 	}
-	p.waitUntil("the new certificates are known", func() bool {
-		fits := 0
+	tc.waitUntil("the first three instances verify the new certificates", func() bool {
+		verified := 0
 		for _, i := range all[:3] {
 			i.codecMu.Lock()
 			for _, o := range all[:3] {
-				if peer, err := i.codec.Meet(rings[o.name].Certificate.Encode()); err == nil && peer.Name == o.name {
-					fits++
+				if peer, err := i.codec.Meet(keyrings[o.name].Certificate.Encode()); err == nil && peer.Name == o.name {
+					verified++
 				}
 			}
 			i.codecMu.Unlock()
 		}
-		return fits == 9
+		return verified == 9
 	})
-	know(3, all...)
+	waitForMembers(3, all...)
 	for _, i := range all[:3] {
-		again(i, next, next)
+		rekey(i, next, next)
 	}
-	know(2, all[:3]...)
+	waitForMembers(2, all[:3]...)
 	if n := all[0].countStanding(gossip.IsDead); n != 0 {
-		t.Errorf("%d held dead during the rotation", n)
+		t.Errorf("dead members after the rotation: got %d, want 0", n)
 	}
-	if err := all[0].Rekey(rings["n1"]); err == nil {
-		t.Error("took another's certificate")
+	if err := all[0].Rekey(keyrings["n1"]); err == nil {
+		t.Error("Rekey with the certificate of another instance: got no error, want one")
 	}
 }
 
-// Bad datagrams are dropped before the node, by cause, and members still hear each other.
-func TestBadDatagramsAreDroppedByCause(t *testing.T) {
-	p := newTestCluster(t)
-	a, b := p.start("a", p.issueKeyring("a", time.Hour, p.authority), nil), p.start("b", p.issueKeyring("b", time.Hour, p.authority), nil)
-	p.waitUntil("they meet", func() bool { return a.countStanding(gossip.IsAlive) == 1 && b.countStanding(gossip.IsAlive) == 1 })
+// Invalid datagrams are dropped before they reach the node and counted by cause, and members still reach each other.
+func TestInvalidDatagramsAreDroppedByCause(t *testing.T) {
+	tc := newTestCluster(t)
+	a, b := tc.start("a", tc.issueKeyring("a", time.Hour, tc.authority), nil), tc.start("b", tc.issueKeyring("b", time.Hour, tc.authority), nil)
+	tc.waitUntil("a and b are members of each other", func() bool { return a.countStanding(gossip.IsAlive) == 1 && b.countStanding(gossip.IsAlive) == 1 })
 	c, err := net.Dial("udp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	b.codecMu.Lock()
-	good, err := b.codec.Datagram(ownKey(a), &gossip.Message{Kind: gossip.Ping, Number: 1})
+	valid, err := b.codec.Datagram(ownKey(a), &gossip.Message{Kind: gossip.Ping, Number: 1})
 	b.codecMu.Unlock()
 	if err != nil {
 		t.Fatal(err)
 	}
-	altered := append([]byte(nil), good...)
+	altered := append([]byte(nil), valid...)
 	altered[60] ^= 1
-	p.waitUntil("all are counted", func() bool {
+	tc.waitUntil("all invalid datagrams are counted", func() bool {
 		c.Write([]byte("hello"))
 		c.Write(make([]byte, 4000))
 		c.Write(altered)
-		c.Write(good) // the first is good, the others are replays
+		c.Write(valid) // the first is valid, the others are replays
 		n := &a.counts
 		replayed, err := callNode(a.Carrier, func() int64 { return a.node.Counts().Replayed })
 		return err == nil && n.Form.Load() >= 50 && n.Oversized.Load() >= 50 && n.Tag.Load() >= 50 && replayed >= 49
 	})
 	before, _ := callNode(a.Carrier, a.node.Counts)
-	p.waitUntil("pings still pass", func() bool {
+	tc.waitUntil("valid datagrams still arrive", func() bool {
 		now, err := callNode(a.Carrier, a.node.Counts)
 		return err == nil && now.Received > before.Received+3
 	})
 	if a.countStanding(gossip.IsAlive) != 1 || b.countStanding(gossip.IsAlive) != 1 {
-		t.Error("a member was lost")
+		t.Error("alive members after invalid datagrams: got other than 1, want 1")
 	}
 }
 
+// ownKey returns the ID of an instance's own key.
 func ownKey(i *instance) gossip.KeyID {
 	i.codecMu.Lock()
 	defer i.codecMu.Unlock()
 	return i.codec.Own()
 }
 
-func TestTheBudgetLeavesAFloodToTheSocket(t *testing.T) {
-	p := newTestCluster(t)
-	a := p.start("a", p.issueKeyring("a", time.Hour, p.authority), func(s *config.Gossip) { s.Limits.ReceivedPerSecond = 50 })
+// Beyond the receive budget, datagrams of a flood stay in the socket's buffer, where the kernel drops them.
+func TestReceiveBudgetLimitsFlood(t *testing.T) {
+	tc := newTestCluster(t)
+	a := tc.start("a", tc.issueKeyring("a", time.Hour, tc.authority), func(s *config.Gossip) { s.Limits.ReceivedPerSecond = 50 })
 	c, err := net.Dial("udp", a.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	bad := make([]byte, 200)
+	invalid := make([]byte, 200)
 	for range 20000 {
-		c.Write(bad)
+		c.Write(invalid)
 	}
-	p.waitUntil("some are looked at", func() bool { return a.counts.Form.Load() > 100 })
+	tc.waitUntil("more than 100 datagrams are handled", func() bool { return a.counts.Form.Load() > 100 })
 	if n := a.counts.Form.Load() + a.counts.Budget.Load(); n > 15000 {
-		t.Errorf("%d of 20000 were read", n)
+		t.Errorf("datagrams read of a flood of 20000: got %d, want at most 15000", n)
 	}
 }
 
-func TestAnInstanceThatListensEverywhereLearnsItsAddress(t *testing.T) {
-	p := newTestCluster(t)
-	a := p.start("a", p.issueKeyring("a", time.Hour, p.authority), nil)
-	b := p.start("b", p.issueKeyring("b", time.Hour, p.authority), func(s *config.Gossip) { s.Listen = "0.0.0.0:0" })
-	p.waitUntil("a reaches b", func() bool { return a.countStanding(gossip.IsAlive) == 1 && b.countStanding(gossip.IsAlive) == 1 })
+func TestInstanceOnUnspecifiedAddressLearnsItsAddress(t *testing.T) {
+	tc := newTestCluster(t)
+	a := tc.start("a", tc.issueKeyring("a", time.Hour, tc.authority), nil)
+	b := tc.start("b", tc.issueKeyring("b", time.Hour, tc.authority), func(s *config.Gossip) { s.Listen = "0.0.0.0:0" })
+	tc.waitUntil("a reaches b", func() bool { return a.countStanding(gossip.IsAlive) == 1 && b.countStanding(gossip.IsAlive) == 1 })
 	peers, err := callNode(a.Carrier, a.node.Peers)
 	if want := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), b.Addr().Port()); err != nil || peers[0].Addr != want {
-		t.Errorf("b is held to be at %v, is at %v", peers[0].Addr, want)
+		t.Errorf("address of b: got %v, want %v", peers[0].Addr, want)
 	}
 }
--- a/internal/gossip/carrier/datagram.go
+++ b/internal/gossip/carrier/datagram.go
@@ -14,50 +14,52 @@
 	"gorsewell/internal/gossip/wire"
 )
 
-// receiveBatchSize is how many datagrams one call to the system brings: under a flood the calls cost most.
+// receiveBatchSize is the maximum number of datagrams read by one system call; under a flood the calls are the main
+// cost.
 const receiveBatchSize = 32
 
-// What looking at a datagram costs of the budget, in parts of what a good one does. The most is spent on those of whom a
-// certificate is to be proved.
+// Costs of handling a datagram, relative to a valid one, and other constants of receiving.
 const (
 	costValid      = 1.0
-	costNewPeer    = 20.0
-	costInvalidTag = 1. / 30 // a tag that does not fit
-	costReject     = 1. / 60 // turned away by its first bytes
-	retryDelay     = 20 * time.Millisecond
-	budgetBurst    = 500 * time.Millisecond // of the budget may be spent at once
+	costNewPeer    = 20.0                   // the sender's certificate has to be verified: the most expensive case
+	costInvalidTag = 1. / 30                // the tag does not match
+	costReject     = 1. / 60                // rejected by its header
+	retryDelay     = 20 * time.Millisecond  // after an error of the socket, or when the budget is spent
+	budgetBurst    = 500 * time.Millisecond // the budget of this time may be spent at once
 )
 
-// budget lets only so much of this instance's time go into datagrams, whoever sends them.
+// budget limits the processing time that datagrams take, whoever sends them. It is a token bucket in units of
+// costValid.
 type budget struct {
-	perSecond, remaining float64
-	refilledAt           time.Duration
+	perSecond  float64
+	remaining  float64
+	refilledAt time.Duration
 }
 
-// refill adds what time has brought.
+// refill adds the budget for the time since the last refill, up to the burst limit.
 func (b *budget) refill(now time.Duration) {
 	b.remaining = min(b.perSecond*budgetBurst.Seconds(), b.remaining+b.perSecond*(now-b.refilledAt).Seconds())
 	b.refilledAt = now
 }
 
-// batchReader is what the two versions of IP have in common.
+// batchReader is the method common to the packet connections of IPv4 and IPv6.
 type batchReader interface {
 	ReadBatch(ms []ipv4.Message, flags int) (int, error)
 }
 
-// receiveDatagrams reads datagrams until the context ends. When the budget is spent it leaves them to the socket, which drops what it
-// has no room for, at no cost to the ops beside.
+// receiveDatagrams reads datagrams until the context ends. When the budget is spent it stops reading for a while. The
+// kernel then drops datagrams that exceed the socket's buffer, at no cost to the gateway's ops.
 func (c *Carrier) receiveDatagrams(ctx context.Context) error {
 	var conn batchReader = ipv4.NewPacketConn(c.udp)
 	if c.udp.LocalAddr().(*net.UDPAddr).IP.To4() == nil {
 		conn = ipv6.NewPacketConn(c.udp)
 	}
 	c.udp.SetReadBuffer(256 << 10)
-	most := int(c.settings.Limits.Datagram) + 1
+	bufferSize := int(c.settings.Limits.Datagram) + 1 // one more byte, to detect oversized datagrams
 	messages := make([]ipv4.Message, receiveBatchSize)
-	buffers := make([]byte, receiveBatchSize*most)
+	buffers := make([]byte, receiveBatchSize*bufferSize)
 	for i := range messages {
-		messages[i].Buffers = [][]byte{buffers[i*most : (i+1)*most]}
+		messages[i].Buffers = [][]byte{buffers[i*bufferSize : (i+1)*bufferSize]}
 	}
 	b := budget{perSecond: float64(c.settings.Limits.ReceivedPerSecond), refilledAt: c.clock.Now()}
 	b.remaining = b.perSecond * budgetBurst.Seconds()
@@ -69,7 +71,8 @@
 			case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, net.ErrClosed):
 				return nil
 			}
-			// An earlier send's refusal comes back here on some systems; reading goes on, but never in a tight loop.
+			// Some systems report here that an earlier send was refused. Reading goes on after a delay, to avoid a
+			// busy loop.
 			pause.Reset(retryDelay)
 			select {
 			case <-ctx.Done():
@@ -81,7 +84,7 @@
 		for i := range messages[:n] {
 			c.counts.Datagrams.Add(1)
 			size := messages[i].N
-			if size >= most {
+			if size >= bufferSize {
 				c.counts.Oversized.Add(1)
 				b.remaining -= costReject
 				continue
@@ -103,21 +106,22 @@
 	return nil
 }
 
-// openDatagram proves one datagram and hands it to the node; it returns what that cost of the budget.
-func (c *Carrier) openDatagram(d []byte, left float64) (cost float64) {
+// openDatagram verifies a datagram and passes it to the node. It returns the cost, to be taken off the remaining
+// budget.
+func (c *Carrier) openDatagram(d []byte, remaining float64) (cost float64) {
 	c.codecMu.Lock()
-	meets := c.codec.Meets(d)
-	if meets && left < c.newPeerReserve() {
+	newPeer := c.codec.Meets(d)
+	if newPeer && remaining < c.newPeerReserve() {
 		c.codecMu.Unlock()
 		c.counts.Budget.Add(1)
 		return costReject
 	}
-	got, err := c.codec.Open(d, c.countDropped)
+	datagram, err := c.codec.Open(d, c.countDropped)
 	c.codecMu.Unlock()
 	if err != nil {
 		c.countDropped(err)
 		switch {
-		case meets:
+		case newPeer:
 			return costNewPeer
 		case errors.Is(err, wire.ErrTag):
 			return costInvalidTag
@@ -126,19 +130,20 @@
 		}
 		return costReject
 	}
-	c.enqueue(func() { c.node.Received(c.clock.Now(), got) })
-	if meets {
+	c.enqueue(func() { c.node.Received(c.clock.Now(), datagram) })
+	if newPeer {
 		return costNewPeer
 	}
-	return costValid + float64(len(got.Message.Claims)+len(got.Message.Rumours))/4
+	return costValid + float64(len(datagram.Message.Claims)+len(datagram.Message.Rumours))/4
 }
 
-// newPeerReserve is what must be left for a stranger to be looked at: members come first.
+// newPeerReserve is the remaining budget needed to verify an unknown sender's certificate. It reserves half of the
+// burst for known members.
 func (c *Carrier) newPeerReserve() float64 {
 	return float64(c.settings.Limits.ReceivedPerSecond) * budgetBurst.Seconds() / 2
 }
 
-// countDropped counts what was not taken, by cause.
+// countDropped counts a dropped message or item by its cause.
 func (c *Carrier) countDropped(err error) {
 	n := &c.counts
 	switch {
--- a/internal/gossip/carrier/stream.go
+++ b/internal/gossip/carrier/stream.go
@@ -15,20 +15,21 @@
 	"gorsewell/internal/gossip/wire"
 )
 
-// A stream compares two tables. Who opens it says hello with a fresh number and its certificate; the other answers with its
-// own, and a tag under the secret of both over all that was said; from there on each frame bears a tag over its number and
-// its bytes under a key made from that secret and both fresh numbers. So neither an old stream nor another's can be replayed.
+// Streams synchronise the tables of two instances. The opener sends a hello with a nonce and its certificate. The
+// other side answers with its own hello and a frame that repeats both. Each frame has a tag over its number and its
+// content, under a key derived from the shared secret and both nonces, so that neither an earlier stream nor one of
+// other instances can be replayed.
 const (
-	streamTimeout = 3 * time.Second
+	streamTimeout = 3 * time.Second // for a whole stream, and for the node to answer
 	dialTimeout   = time.Second
-	maxFrameSize  = 96 << 10
-	nonceSize     = 16
+	maxFrameSize  = 96 << 10 // bytes
+	nonceSize     = 16       // bytes
 	helloPrefix   = "gw\x01s"
 )
 
-var errFrameTooLarge = errors.New("a frame that does not fit")
+var errFrameTooLarge = errors.New("frame is larger than 96 KiB")
 
-// stream is a proved stream.
+// stream is a connection whose two ends have authenticated each other.
 type stream struct {
 	net.Conn
 	reader *bufio.Reader
@@ -36,6 +37,8 @@
 	peer   *wire.Peer
 }
 
+// encodeHello returns the first message of either side: the prefix, the cluster, the nonce and the certificate with
+// its length.
 func encodeHello(cluster uint32, nonce, cert []byte) []byte {
 	b := append([]byte(helloPrefix), 0, 0, 0, 0)
 	binary.BigEndian.PutUint32(b[4:], cluster)
@@ -43,7 +46,7 @@
 	return append(append(b, byte(len(cert))), cert...)
 }
 
-// readHello reads the other's first words.
+// readHello reads the peer's hello. It returns its nonce, its certificate and all of its bytes.
 func readHello(r io.Reader, cluster uint32) (nonce, cert, all []byte, err error) {
 	all = make([]byte, 8+nonceSize+1)
 	if _, err = io.ReadFull(r, all); err != nil {
@@ -62,83 +65,83 @@
 	return all[8 : 8+nonceSize], cert, append(all, cert...), nil
 }
 
-// handshake proves both ends to each other.
-func (c *Carrier) handshake(conn net.Conn, first bool) (*stream, error) {
+// handshake authenticates both ends to each other. The opener sends its hello first.
+func (c *Carrier) handshake(conn net.Conn, opener bool) (*stream, error) {
 	conn.SetDeadline(time.Now().Add(streamTimeout))
 	nonce := make([]byte, nonceSize)
 	rand.Read(nonce)
-	in := bufio.NewReaderSize(conn, 4<<10)
+	reader := bufio.NewReaderSize(conn, 4<<10)
 	c.codecMu.Lock()
 	cluster, cert := c.codec.Cluster(), c.codec.Certificate()
 	c.codecMu.Unlock()
-	mine := encodeHello(cluster, nonce, cert)
-	if first {
-		if _, err := conn.Write(mine); err != nil {
+	ownHello := encodeHello(cluster, nonce, cert)
+	if opener {
+		if _, err := conn.Write(ownHello); err != nil {
 			return nil, err
 		}
 	}
-	theirNonce, theirCert, theirs, err := readHello(in, cluster)
+	peerNonce, peerCert, peerHello, err := readHello(reader, cluster)
 	if err != nil {
 		return nil, err
 	}
 	c.codecMu.Lock()
-	peer, err := c.codec.Meet(theirCert)
-	var s *wire.Session
-	if err == nil && first {
-		s = c.codec.Session(peer, nonce, theirNonce, true)
+	peer, err := c.codec.Meet(peerCert)
+	var mac *wire.Session
+	if err == nil && opener {
+		mac = c.codec.Session(peer, nonce, peerNonce, true)
 	} else if err == nil {
-		s = c.codec.Session(peer, theirNonce, nonce, false)
+		mac = c.codec.Session(peer, peerNonce, nonce, false)
 	}
 	c.codecMu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	l := &stream{conn, in, s, peer}
-	said := append(append([]byte(nil), mine...), theirs...)
-	if !first {
-		said = append(append([]byte(nil), theirs...), mine...)
-		if _, err := conn.Write(mine); err != nil {
+	s := &stream{conn, reader, mac, peer}
+	hellos := append(append([]byte(nil), ownHello...), peerHello...)
+	if !opener {
+		hellos = append(append([]byte(nil), peerHello...), ownHello...)
+		if _, err := conn.Write(ownHello); err != nil {
 			return nil, err
 		}
-		return l, l.writeFrame(said) // the hello of both, tagged: who answers holds its key
+		return s, s.writeFrame(hellos) // the valid tag proves that this side holds its key
 	}
-	got, err := l.readFrame()
-	if err == nil && string(got) != string(said) {
+	got, err := s.readFrame()
+	if err == nil && string(got) != string(hellos) {
 		err = wire.ErrTag
 	}
-	return l, err
+	return s, err
 }
 
-// writeFrame sends one frame: its length, its bytes, its tag.
-func (l *stream) writeFrame(b []byte) error {
+// writeFrame sends a frame: length, content and tag.
+func (s *stream) writeFrame(b []byte) error {
 	frame := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(b)+wire.TagSize), uint32(len(b)))
 	frame = append(frame, b...)
-	frame = append(frame, l.mac.Seal(b)...)
-	_, err := l.Write(frame)
+	frame = append(frame, s.mac.Seal(b)...)
+	_, err := s.Write(frame)
 	return err
 }
 
-// readFrame takes one frame.
-func (l *stream) readFrame() ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(l.reader, head[:]); err != nil {
+// readFrame reads a frame and verifies its tag.
+func (s *stream) readFrame() ([]byte, error) {
+	var length [4]byte
+	if _, err := io.ReadFull(s.reader, length[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
+	n := binary.BigEndian.Uint32(length[:])
 	if n > maxFrameSize {
 		return nil, errFrameTooLarge
 	}
 	b := make([]byte, n+wire.TagSize)
-	if _, err := io.ReadFull(l.reader, b); err != nil {
+	if _, err := io.ReadFull(s.reader, b); err != nil {
 		return nil, err
 	}
-	if !l.mac.Fits(b[:n], b[n:]) {
+	if !s.mac.Fits(b[:n], b[n:]) {
 		return nil, wire.ErrTag
 	}
 	return b[:n], nil
 }
 
-// acceptStreams takes streams. Beyond the most that may be open they are closed at once.
+// acceptStreams accepts and serves streams. Connections beyond the limit of open streams are closed at once.
 func (c *Carrier) acceptStreams(ctx context.Context) error {
 	for {
 		conn, err := c.tcp.AcceptTCP()
@@ -146,7 +149,7 @@
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			select { // out of descriptors
+			select { // for example out of file descriptors
 			case <-ctx.Done():
 				return nil
 			case <-time.After(retryDelay):
@@ -171,6 +174,7 @@
 	}
 }
 
+// countStream counts a finished stream, and its cause if it failed verification.
 func (c *Carrier) countStream(err error) {
 	c.counts.Streams.Add(1)
 	if err == nil {
@@ -184,37 +188,37 @@
 	}
 }
 
-// serveStream serves one stream that another has opened.
+// serveStream answers a stream that a peer has opened.
 func (c *Carrier) serveStream(conn *net.TCPConn) error {
-	l, err := c.handshake(conn, false)
+	s, err := c.handshake(conn, false)
 	if err != nil {
 		return err
 	}
-	raw, err := l.readFrame()
+	raw, err := s.readFrame()
 	if err != nil {
 		return err
 	}
 	c.codecMu.Lock()
-	d, err := c.codec.Digest(raw, l.peer)
+	d, err := c.codec.Digest(raw, s.peer)
 	c.codecMu.Unlock()
 	if err != nil {
 		return err
 	}
-	seen := conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
+	remote := conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
 	reply, err := callNode(c, func() *gossip.Items {
-		// Where it does not know its own address yet, the one that it came from will do until it does.
+		// A peer that does not know its own address yet is reachable at the one it connects from.
 		if a := d.Own.Addr; a.Addr().IsUnspecified() {
-			d.Own.Addr = netip.AddrPortFrom(seen, a.Port())
+			d.Own.Addr = netip.AddrPortFrom(remote, a.Port())
 		}
-		return c.node.Asked(c.clock.Now(), d, seen)
+		return c.node.Asked(c.clock.Now(), d, remote)
 	})
 	if err != nil {
 		return err
 	}
-	if err := l.writeFrame(c.encodeItems(reply)); err != nil {
+	if err := s.writeFrame(c.encodeItems(reply)); err != nil {
 		return err
 	}
-	raw, err = l.readFrame()
+	raw, err = s.readFrame()
 	if err != nil || len(raw) == 0 {
 		return err
 	}
@@ -225,22 +229,23 @@
 	return err
 }
 
-var errBusy = errors.New("too busy")
+var errBusy = errors.New("gossip node is stopped or did not answer in time")
 
-// callNode has the owner of the node answer something.
+// callNode runs a function on the goroutine that owns the node and returns its result. It fails if the queue is full,
+// the node has stopped, or there is no result within streamTimeout.
 func callNode[T any](c *Carrier, f func() T) (T, error) {
-	got := make(chan T, 1)
-	var none T
-	if !c.enqueue(func() { got <- f() }) {
-		return none, errBusy
+	result := make(chan T, 1)
+	var zero T
+	if !c.enqueue(func() { result <- f() }) {
+		return zero, errBusy
 	}
 	select {
-	case v := <-got:
+	case v := <-result:
 		return v, nil
 	case <-c.stopped:
-		return none, errBusy
+		return zero, errBusy
 	case <-time.After(streamTimeout):
-		return none, errBusy
+		return zero, errBusy
 	}
 }
 
@@ -256,7 +261,8 @@
 	return c.codec.Items(raw, c.countDropped)
 }
 
-// Exchange opens a stream to another. With too many open it has failed.
+// Exchange opens a stream to an instance and synchronises with it. It reports failure at once if too many streams are
+// open.
 func (c *Carrier) Exchange(with netip.AddrPort, d *gossip.Digest) {
 	c.codecMu.Lock()
 	raw := c.codec.EncodeDigest(d)
@@ -278,7 +284,7 @@
 	})
 }
 
-// syncWith is the side that asks.
+// syncWith opens a stream and runs the opener's side of the exchange.
 func (c *Carrier) syncWith(with netip.AddrPort, digest []byte) error {
 	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	conn, err := dialer.Dial("tcp", with.String())
@@ -286,14 +292,14 @@
 		return err
 	}
 	defer conn.Close()
-	l, err := c.handshake(conn, true)
+	s, err := c.handshake(conn, true)
 	if err != nil {
 		return err
 	}
-	if err := l.writeFrame(digest); err != nil {
+	if err := s.writeFrame(digest); err != nil {
 		return err
 	}
-	raw, err := l.readFrame()
+	raw, err := s.readFrame()
 	if err != nil {
 		return err
 	}
@@ -306,7 +312,7 @@
 		return err
 	}
 	if give == nil {
-		return l.writeFrame(nil)
+		return s.writeFrame(nil)
 	}
-	return l.writeFrame(c.encodeItems(give))
+	return s.writeFrame(c.encodeItems(give))
 }
--- a/internal/gossip/keys/keys.go
+++ b/internal/gossip/keys/keys.go
@@ -1,6 +1,7 @@
-// Package keys holds what proves who an instance is: authorities, which sign certificates, and certificates, which bind an
-// instance's name to its key until they expire. Ed25519 signs (RFC 8032); from two certificates' keys both instances derive
-// one secret by X25519 (RFC 7748), so that what is not meant for them is told apart before a signature is looked at.
+// Package keys implements the identities of gateway instances. An authority signs certificates; a certificate binds
+// an instance's name to its public key until it expires. Signatures are Ed25519 (RFC 8032). From the keys in their
+// certificates two instances derive a shared secret by X25519 (RFC 7748), so that a message for another receiver is
+// recognised and rejected before its signature is verified.
 package keys
 
 import (
@@ -25,25 +26,26 @@
 	"gorsewell/internal/gossip"
 )
 
-// MaxName is the longest name of an instance, in bytes.
+// MaxName is the maximum length of the name of an instance or authority, in bytes.
 const MaxName = 32
 
-// MaxCertificate is the longest a certificate can be, in bytes.
+// MaxCertificate is the maximum size of an encoded certificate, in bytes.
 const MaxCertificate = 220
 
-// What separates signatures of one kind from those of another.
+// certificateDomain separates signatures of certificates from other signatures by the same key.
 const certificateDomain = "gorsewell certificate 1\x00"
 
-// Errors of what is read.
+// Errors returned for invalid names, keys, certificates and files.
 var (
-	ErrForm      = errors.New("not in the form of this file")
+	ErrForm      = errors.New("invalid key or certificate")
 	ErrSignature = errors.New("the signature does not fit")
 	ErrExpired   = errors.New("the certificate has expired")
 	ErrUnknown   = errors.New("the certificate is of an authority that does not count here")
-	ErrName      = errors.New("a name is 1 to 32 letters, digits, dots, dashes and underscores")
+	ErrName      = errors.New("invalid name: must be 1 to 32 letters, digits, dots, dashes and underscores")
 )
 
-// Encoding and decoding are strict, so that a thing has one form: what is signed cannot be written in two ways.
+// EncMode and DecMode are the CBOR modes of all signed data. Encoding is deterministic and decoding is strict, so
+// that signed data has exactly one encoding.
 var (
 	Enc cbor.EncMode
 	Dec cbor.DecMode
@@ -61,40 +63,41 @@
 	}
 }
 
-// ID is by what a key is known.
+// ID returns the ID of a public key: the first bytes of its SHA-256.
 func ID(public ed25519.PublicKey) (id gossip.KeyID) {
 	sum := sha256.Sum256(public)
 	copy(id[:], sum[:])
 	return id
 }
 
-// IDText is an ID as people read it.
+// IDText returns an ID in hexadecimal, for output.
 func IDText(id gossip.KeyID) string { return hex.EncodeToString(id[:]) }
 
-// Certificate binds a name to a key.
+// Certificate binds an instance's name to a public key. The order of its fields is part of the encoding.
 type Certificate struct {
 	_         struct{} `cbor:",toarray"`
 	Name      string
 	Public    []byte
-	NotAfter  int64 // Unix seconds
-	Authority []byte
-	Signature []byte
+	NotAfter  int64  // Unix seconds
+	Authority []byte // ID of the authority's key
+	Signature []byte // by the authority, over signedBytes
 }
 
-// Key is the ID of the certificate's key.
+// KeyID returns the ID of the certificate's key.
 func (c *Certificate) Key() gossip.KeyID { return ID(c.Public) }
 
+// signedBytes returns the bytes that the authority signs: the domain and the certificate without its signature.
 func (c *Certificate) signedBytes() []byte {
 	bare := *c
 	bare.Signature = nil
 	b, err := Enc.Marshal(&bare)
 	if err != nil {
-		panic(err) // nothing in it can fail to be encoded
+		panic(err) // a certificate has no field whose encoding can fail
 	}
 	return append([]byte(certificateDomain), b...)
 }
 
-// Encode gives the certificate's bytes.
+// Encode returns the encoded certificate.
 func (c *Certificate) Encode() []byte {
 	b, err := Enc.Marshal(c)
 	if err != nil {
@@ -103,7 +106,8 @@
 	return b
 }
 
-// ParseCertificate reads a certificate. Whether it counts is for Keyring.Verify to say.
+// ParseCertificate decodes a certificate and checks its format. It does not check its signature and expiry; see
+// Keyring.Verify.
 func ParseCertificate(b []byte) (*Certificate, error) {
 	c := &Certificate{}
 	if len(b) > MaxCertificate {
@@ -121,11 +125,11 @@
 	return c, nil
 }
 
-// ValidName tells whether an instance may be called so.
+// ValidName reports whether a name is allowed for an instance or authority.
 func ValidName(name string) bool {
-	for _, r := range []byte(name) {
+	for _, b := range []byte(name) {
 		switch {
-		case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9', r == '.', r == '-', r == '_':
+		case b >= 'a' && b <= 'z', b >= 'A' && b <= 'Z', b >= '0' && b <= '9', b == '.', b == '-', b == '_':
 		default:
 			return false
 		}
@@ -133,14 +137,14 @@
 	return len(name) >= 1 && len(name) <= MaxName
 }
 
-// Authority is one whose certificates count. Private is nil where only its public half is known.
+// Authority is a key pair that signs certificates. Private is nil if only the public key is known.
 type Authority struct {
 	Name    string
 	Public  ed25519.PublicKey
 	Private ed25519.PrivateKey
 }
 
-// NewAuthority makes one.
+// NewAuthority generates an authority with a new key pair.
 func NewAuthority(name string) (*Authority, error) {
 	if !ValidName(name) {
 		return nil, ErrName
@@ -149,13 +153,14 @@
 	return &Authority{name, public, private}, err
 }
 
-// Issue signs a certificate for a key.
+// Issue returns a signed certificate that binds a name to a public key until notAfter. It needs the authority's
+// private key.
 func (a *Authority) Issue(name string, public ed25519.PublicKey, notAfter time.Time) (*Certificate, error) {
 	if !ValidName(name) {
 		return nil, ErrName
 	}
 	if a.Private == nil {
-		return nil, errors.New("the authority's private key is needed to issue certificates")
+		return nil, errors.New("issuing a certificate needs the authority's private key; only its public key is known")
 	}
 	id := ID(a.Public)
 	c := &Certificate{Name: name, Public: public, NotAfter: notAfter.Unix(), Authority: id[:]}
@@ -163,31 +168,32 @@
 	return c, nil
 }
 
-// Keyring is what one instance proves itself by, and by what it judges others.
+// Keyring holds an instance's own identity and the authorities whose certificates it accepts.
 type Keyring struct {
 	Certificate *Certificate
 	Private     ed25519.PrivateKey
 	Authorities []*Authority
 
-	exchangeKey *ecdh.PrivateKey
+	exchangeKey *ecdh.PrivateKey // X25519 key derived from Private
 }
 
-// NewKeyring puts one together. The certificate must fit the key and count by one of the authorities.
+// NewKeyring returns a keyring. The certificate must be for the given private key, unexpired, and signed by one of the
+// authorities.
 func NewKeyring(c *Certificate, private ed25519.PrivateKey, authorities []*Authority, now time.Time) (*Keyring, error) {
 	if !bytes.Equal(private.Public().(ed25519.PublicKey), c.Public) {
-		return nil, errors.New("the certificate is of another key")
+		return nil, errors.New("the public key of the certificate does not match the private key")
 	}
-	// RFC 8032's private scalar is the first half of the seed's hash; X25519 clamps it as Ed25519 does.
-	half := sha512.Sum512(private.Seed())
-	x, err := ecdh.X25519().NewPrivateKey(half[:32])
+	// The private scalar of RFC 8032 is the first half of the seed's hash; X25519 clamps it as Ed25519 does.
+	seedHash := sha512.Sum512(private.Seed())
+	exchangeKey, err := ecdh.X25519().NewPrivateKey(seedHash[:32])
 	if err != nil {
 		return nil, err
 	}
-	k := &Keyring{Certificate: c, Private: private, Authorities: authorities, exchangeKey: x}
+	k := &Keyring{Certificate: c, Private: private, Authorities: authorities, exchangeKey: exchangeKey}
 	return k, k.Verify(c, now)
 }
 
-// Verify tells whether a certificate counts at a time.
+// Verify checks that a certificate is unexpired at the given time and signed by one of the keyring's authorities.
 func (k *Keyring) Verify(c *Certificate, now time.Time) error {
 	if now.Unix() > c.NotAfter {
 		return ErrExpired
@@ -203,21 +209,21 @@
 	return ErrUnknown
 }
 
-// Shared is the secret that this instance and the one of a certificate have in common, for one cluster.
+// SharedSecret returns the secret that this instance shares with the holder of a certificate within a cluster.
 func (k *Keyring) Shared(c *Certificate, cluster string) ([]byte, error) {
 	point, err := new(edwards25519.Point).SetBytes(c.Public)
 	if err != nil {
 		return nil, ErrForm
 	}
-	other, err := ecdh.X25519().NewPublicKey(point.BytesMontgomery())
+	peerKey, err := ecdh.X25519().NewPublicKey(point.BytesMontgomery())
 	if err != nil {
 		return nil, err
 	}
-	secret, err := k.exchangeKey.ECDH(other)
+	secret, err := k.exchangeKey.ECDH(peerKey)
 	if err != nil {
-		return nil, err // a point of low order: nobody's honest key
+		return nil, err // a point of low order, which no honestly generated key has
 	}
-	// The same on both sides: the lesser key comes first.
+	// Both sides must derive the same secret, so the lesser key comes first.
 	low, high := k.Certificate.Public, c.Public
 	if bytes.Compare(low, high) > 0 {
 		low, high = high, low
@@ -229,7 +235,7 @@
 	return m.Sum(nil), nil
 }
 
-// The kinds of files.
+// PEM types of the files.
 const (
 	pemAuthorityPrivateKey = "GORSEWELL AUTHORITY PRIVATE KEY"
 	pemAuthority           = "GORSEWELL AUTHORITY"
@@ -237,7 +243,8 @@
 	pemCertificate         = "GORSEWELL CERTIFICATE"
 )
 
-// WriteAuthority writes NAME.authority.key, which only the owner may read, and NAME.authority, which goes to all instances.
+// WriteAuthority writes NAME.authority.key, the private key, readable by the owner only, and NAME.authority, the
+// public key, which all instances need. It returns both paths.
 func WriteAuthority(dir string, a *Authority) (private, public string, err error) {
 	private, public = filepath.Join(dir, a.Name+".authority.key"), filepath.Join(dir, a.Name+".authority")
 	if err := writePEM(private, pemAuthorityPrivateKey, a.Private.Seed(), a.Name, 0o600); err != nil {
@@ -246,12 +253,13 @@
 	return private, public, writePEM(public, pemAuthority, a.Public, a.Name, 0o644)
 }
 
-// WriteKey writes an instance's private key.
+// WriteKey writes an instance's private key to a file readable by the owner only. It does not overwrite an existing
+// file.
 func WriteKey(path string, private ed25519.PrivateKey) error {
 	return writePEM(path, pemPrivateKey, private.Seed(), "", 0o600)
 }
 
-// WriteCertificate writes a certificate. One that stands there already is replaced whole.
+// WriteCertificate writes a certificate. An existing file is replaced atomically.
 func WriteCertificate(path string, c *Certificate) error {
 	return writePEM(path, pemCertificate, c.Encode(), c.Name, 0o644)
 }
@@ -264,7 +272,7 @@
 	}
 	if mode == 0o600 {
 		if _, err := os.Lstat(path); err == nil {
-			return fmt.Errorf("%s exists already and is not written over", path)
+			return fmt.Errorf("%s already exists: a private key is never overwritten", path)
 		}
 	}
 	next := path + ".next"
@@ -274,6 +282,7 @@
 	return os.Rename(next, path)
 }
 
+// readPEM reads a file that must hold exactly one PEM block.
 func readPEM(path string) (*pem.Block, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -286,14 +295,14 @@
 	return block, nil
 }
 
-// File is what a file of this package holds: one of these is set.
+// File is the content of a file written by this package. Exactly one field is set.
 type File struct {
 	Authority   *Authority
 	Private     ed25519.PrivateKey
 	Certificate *Certificate
 }
 
-// Read reads any of the files.
+// ReadFile reads an authority, private key or certificate, depending on the file's PEM type.
 func Read(path string) (*File, error) {
 	block, err := readPEM(path)
 	if err != nil {
@@ -318,18 +327,19 @@
 	return f, nil
 }
 
-// Load reads an instance's keyring from its files.
+// LoadKeyring reads an instance's keyring from the files of its certificate, its private key and the accepted
+// authorities.
 func Load(certificate, key string, authorities []string, now time.Time) (*Keyring, error) {
 	c, err := Read(certificate)
 	if err == nil && c.Certificate == nil {
-		err = fmt.Errorf("%s: %w: a certificate is wanted", certificate, ErrForm)
+		err = fmt.Errorf("%s: %w: expected a certificate", certificate, ErrForm)
 	}
 	if err != nil {
 		return nil, err
 	}
 	p, err := Read(key)
 	if err == nil && p.Private == nil {
-		err = fmt.Errorf("%s: %w: an instance's private key is wanted", key, ErrForm)
+		err = fmt.Errorf("%s: %w: expected an instance's private key", key, ErrForm)
 	}
 	if err != nil {
 		return nil, err
@@ -338,7 +348,7 @@
 	for _, path := range authorities {
 		a, err := Read(path)
 		if err == nil && a.Authority == nil {
-			err = fmt.Errorf("%s: %w: an authority is wanted", path, ErrForm)
+			err = fmt.Errorf("%s: %w: expected an authority", path, ErrForm)
 		}
 		if err != nil {
 			return nil, err
--- a/internal/gossip/wire/wire.go
+++ b/internal/gossip/wire/wire.go
@@ -1,10 +1,15 @@
-// Package wire encodes what instances say to one another, signs it, and proves what comes in before anything else looks at
-// it. The bodies are CBOR (RFC 8949) in its one deterministic form; what goes around them has a fixed layout, so that most of
-// what is not meant for an instance is turned away by comparing a few bytes.
+// Package wire implements the signed binary codec of gossip messages. It encodes and signs outgoing messages, and
+// verifies incoming ones before any other code reads them. Bodies are CBOR (RFC 8949) in its deterministic encoding.
+// The header has a fixed layout, so that most messages for other receivers are rejected by comparing a few bytes.
 //
-// A datagram is: "gw", version, flags, cluster (4), sender's key (8), run (8), counter (8), tag (16), body, signature (64). The
-// tag is an HMAC-SHA256, cut to 16 bytes, under the secret of the two instances; the signature is Ed25519 over all the rest but
-// the tag. Flag 1 says that the body's first claim is the sender's own, with its certificate, for one who may not know it.
+// A datagram consists of these fields, with the size in bytes in parentheses:
+//
+//	magic "gw" (2), version (1), flags (1), hash of the cluster's name (4), ID of the sender's key (8), run ID (8),
+//	counter (8), tag (16), body, signature (64)
+//
+// The tag is an HMAC-SHA256, truncated to 16 bytes, under the shared secret of sender and receiver. The signature is
+// Ed25519 over everything but the tag. Flag 1 says that the body's first claim is the sender's own and carries its
+// certificate, for a receiver that may not know the sender yet.
 package wire
 
 import (
@@ -27,153 +32,156 @@
 	headerSize      = 2 + 1 + 1 + 4 + 8 + 8 + 8 + tagSize
 	tagSize         = 16
 	tagOffset       = headerSize - tagSize
-	flagCertificate = 1
+	flagCertificate = 1 // the first claim carries the sender's certificate
 
 	datagramDomain = "gorsewell datagram 1\x00"
 	claimDomain    = "gorsewell claim 1\x00"
 	rumourDomain   = "gorsewell rumour 1\x00"
 )
 
-// Bounds on what one message holds, beside its size.
+// Limits on the content of one message, in addition to its size in bytes.
 const (
-	maxItems = 64
-	maxMarks = 4096
+	maxItems = 64   // claims and rumours of a datagram; a stream message may hold 8 times as many
+	maxMarks = 4096 // marks of a stream message, on average over its three lists
 )
 
-// Why something is dropped. Each cause is counted by itself.
+// Reasons for dropping a message or one of its items. Each is counted separately.
 var (
-	ErrForm      = errors.New("not in this form")
-	ErrVersion   = errors.New("another version")
-	ErrCluster   = errors.New("of another cluster")
-	ErrStranger  = errors.New("by a key that is not known")
-	ErrTag       = errors.New("not meant for this instance, or altered")
-	ErrSignature = errors.New("the signature does not fit")
+	ErrForm      = errors.New("malformed message")
+	ErrVersion   = errors.New("unsupported protocol version")
+	ErrCluster   = errors.New("message of another cluster")
+	ErrStranger  = errors.New("unknown sender key")
+	ErrTag       = errors.New("tag does not match: message altered or for another receiver")
+	ErrSignature = errors.New("invalid signature")
 	ErrExpired   = keys.ErrExpired
 	ErrAuthority = keys.ErrUnknown
 )
 
 var byteOrder = binary.BigEndian
 
-// Peer is an instance whose certificate has been proved.
+// Peer is an instance whose certificate has been verified.
 type Peer struct {
 	Name    string
 	Key     gossip.KeyID
 	Public  ed25519.PublicKey
-	Cert    []byte
-	Until   int64 // Unix seconds
-	Shared  []byte
-	lastUse uint64
+	Cert    []byte // the encoded certificate
+	Until   int64  // end of the certificate's validity, in Unix seconds
+	Shared  []byte // secret shared with this instance
+	lastUse uint64 // value of the codec's useCount at the last use
 }
 
-// Book proves and remembers. It belongs to one goroutine at a time.
+// Codec signs and encodes outgoing messages, and verifies and decodes incoming ones. It caches verified certificates
+// and signatures. It is not safe for concurrent use.
 type Book struct {
 	keyring     *keys.Keyring
 	cluster     string
-	clusterHash uint32 // of the cluster
-	runID       uint64
-	clock       func() time.Time // for certificates' ends alone
+	clusterHash uint32           // identifies the cluster in headers
+	runID       uint64           // drawn at each start of the instance
+	clock       func() time.Time // used only for the expiry of certificates
 	ownKey      gossip.KeyID
-	certificate []byte
-	counter     uint64
+	certificate []byte // the instance's own, encoded
+	counter     uint64 // datagrams sent
 
 	peers         map[gossip.KeyID]*Peer
 	maxPeers      int
-	useCount      uint64
-	verified      map[[16]byte]struct{} // items whose signature has been found to fit
-	verifiedOrder [][16]byte            // the same, oldest first
-	signedRumours map[uint32][]byte     // rumours of our own, by number
-	signedOrder   []uint32
+	useCount      uint64                // lookups of peers, the clock of Peer.lastUse
+	verified      map[[16]byte]struct{} // hashes of items with a valid signature
+	verifiedOrder [][16]byte            // keys of verified, oldest first
+	signedRumours map[uint32][]byte     // the instance's own rumours, encoded, by number
+	signedOrder   []uint32              // keys of signedRumours, oldest first
 }
 
+// Limits of a codec's caches.
 const (
-	maxVerified = 8192
-	maxSigned   = 256
+	maxVerified = 8192 // hashes of items with a valid signature
+	maxSigned   = 256  // encoded rumours of the instance's own
 )
 
-// NewBook makes one that keeps at most so many peers.
-func NewBook(ring *keys.Keyring, cluster string, run uint64, peers int, clock func() time.Time) *Book {
-	b := &Book{cluster: cluster, runID: run, clock: clock, maxPeers: 2 * peers, verified: map[[16]byte]struct{}{}}
-	b.clusterHash = uint32(xxhash.Sum64String("gorsewell cluster\x00" + cluster))
-	b.Rekey(ring)
-	return b
-}
-
-// Rekey goes on with another keyring. What was proved by the one before is proved again when it comes next. It gives the
-// keys that no longer count.
-func (b *Book) Rekey(ring *keys.Keyring) (ended []gossip.KeyID) {
-	old := b.peers
-	b.keyring, b.ownKey, b.certificate = ring, ring.Certificate.Key(), ring.Certificate.Encode()
-	b.peers, b.verified, b.verifiedOrder = map[gossip.KeyID]*Peer{}, map[[16]byte]struct{}{}, nil
-	b.signedRumours, b.signedOrder = map[uint32][]byte{}, nil
+// NewCodec returns a codec for a cluster of up to the given number of peers. It keeps the certificates of twice as
+// many.
+func NewBook(keyring *keys.Keyring, cluster string, runID uint64, peers int, clock func() time.Time) *Book {
+	cd := &Book{cluster: cluster, runID: runID, clock: clock, maxPeers: 2 * peers, verified: map[[16]byte]struct{}{}}
+	cd.clusterHash = uint32(xxhash.Sum64String("gorsewell cluster\x00" + cluster))
+	cd.Rekey(keyring)
+	return cd
+}
+
+// Rekey replaces the keyring. Signatures verified with the previous one are verified again on their next receipt. It
+// returns the keys of peers whose certificates the new keyring rejects.
+func (cd *Book) Rekey(keyring *keys.Keyring) (rejected []gossip.KeyID) {
+	old := cd.peers
+	cd.keyring, cd.ownKey, cd.certificate = keyring, keyring.Certificate.Key(), keyring.Certificate.Encode()
+	cd.peers, cd.verified, cd.verifiedOrder = map[gossip.KeyID]*Peer{}, map[[16]byte]struct{}{}, nil
+	cd.signedRumours, cd.signedOrder = map[uint32][]byte{}, nil
 	for id, p := range old {
-		if _, err := b.verifyPeer(p.Cert); err != nil {
-			ended = append(ended, id)
+		if _, err := cd.verifyPeer(p.Cert); err != nil {
+			rejected = append(rejected, id)
 		}
 	}
-	return ended
+	return rejected
 }
 
-// Own is the instance's own key.
-func (b *Book) Own() gossip.KeyID { return b.ownKey }
+// OwnKey returns the ID of the instance's own key.
+func (cd *Book) Own() gossip.KeyID { return cd.ownKey }
 
-// Expired gives the keys whose certificates have ended, and forgets them.
-func (b *Book) Expired() (ended []gossip.KeyID) {
-	now := b.clock().Unix()
-	for id, p := range b.peers {
+// RemoveExpired removes the peers whose certificates have expired and returns their keys.
+func (cd *Book) Expired() (expired []gossip.KeyID) {
+	now := cd.clock().Unix()
+	for id, p := range cd.peers {
 		if now > p.Until {
-			ended = append(ended, id)
-			delete(b.peers, id)
+			expired = append(expired, id)
+			delete(cd.peers, id)
 		}
 	}
-	return ended
+	return expired
 }
 
-// verifyPeer proves a certificate and keeps it.
-func (b *Book) verifyPeer(cert []byte) (*Peer, error) {
+// verifyPeer verifies a certificate and caches the peer.
+func (cd *Book) verifyPeer(cert []byte) (*Peer, error) {
 	c, err := keys.ParseCertificate(cert)
 	if err != nil {
 		return nil, ErrForm
 	}
 	id := c.Key()
-	if p := b.peers[id]; p != nil && string(p.Cert) == string(cert) {
+	if p := cd.peers[id]; p != nil && string(p.Cert) == string(cert) {
 		return p, nil
 	}
-	if err := b.keyring.Verify(c, b.clock()); err != nil {
+	if err := cd.keyring.Verify(c, cd.clock()); err != nil {
 		return nil, err
 	}
-	shared, err := b.keyring.Shared(c, b.cluster)
+	shared, err := cd.keyring.Shared(c, cd.cluster)
 	if err != nil {
 		return nil, ErrForm
 	}
-	if len(b.peers) >= b.maxPeers { // the one that was needed longest ago gives way
+	if len(cd.peers) >= cd.maxPeers { // evict the least recently used; the key breaks ties
 		var oldest *Peer
-		for _, p := range b.peers {
+		for _, p := range cd.peers {
 			if oldest == nil || p.lastUse < oldest.lastUse || p.lastUse == oldest.lastUse && string(p.Key[:]) < string(oldest.Key[:]) {
 				oldest = p
 			}
 		}
-		delete(b.peers, oldest.Key)
+		delete(cd.peers, oldest.Key)
 	}
 	p := &Peer{Name: c.Name, Key: id, Public: c.Public, Cert: cert, Until: c.NotAfter, Shared: shared}
-	b.peers[id] = p
+	cd.peers[id] = p
 	return p, nil
 }
 
-// validPeer is one that is known and whose certificate has not ended.
-func (b *Book) validPeer(id gossip.KeyID) (*Peer, error) {
-	p := b.peers[id]
+// validPeer returns a known peer whose certificate has not expired.
+func (cd *Book) validPeer(id gossip.KeyID) (*Peer, error) {
+	p := cd.peers[id]
 	if p == nil {
 		return nil, ErrStranger
 	}
-	if b.clock().Unix() > p.Until {
+	if cd.clock().Unix() > p.Until {
 		return nil, ErrExpired
 	}
-	b.useCount++
-	p.lastUse = b.useCount
+	cd.useCount++
+	p.lastUse = cd.useCount
 	return p, nil
 }
 
-// The bodies, as they are encoded.
+// The CBOR encoded bodies. The order and types of the fields are the wire format.
 type (
 	claimBody struct {
 		_           struct{} `cbor:",toarray"`
@@ -207,7 +215,7 @@
 	}
 	agedRumour struct {
 		_   struct{} `cbor:",toarray"`
-		Raw []byte   // a rumourItem
+		Raw []byte   // an encoded rumourItem
 		Age int64    // milliseconds
 	}
 	messageBody struct {
@@ -218,7 +226,7 @@
 		Target   string
 		TargetAt []byte
 		Clock    int64    // microseconds
-		Claims   [][]byte // claimItems
+		Claims   [][]byte // encoded claimItems
 		Rumours  []agedRumour
 	}
 	digestBody struct {
@@ -242,7 +250,7 @@
 func marshal(v any) []byte {
 	b, err := keys.Enc.Marshal(v)
 	if err != nil {
-		panic(err) // nothing in the bodies can fail to be encoded
+		panic(err) // the bodies have no field whose encoding can fail
 	}
 	return b
 }
@@ -262,65 +270,67 @@
 	return a, err
 }
 
-// encodeClaim gives a claim as it was signed, or signs one of our own.
-func (b *Book) encodeClaim(c *gossip.Claim) []byte {
+// encodeClaim returns a claim's encoding as it was received, or signs and encodes one of the instance's own.
+func (cd *Book) encodeClaim(c *gossip.Claim) []byte {
 	if c.Raw != nil {
 		return c.Raw
 	}
 	body := marshal(&claimBody{Kind: c.Kind, Name: c.Name, Incarnation: c.Incarnation, Run: c.Run, Addr: addrBytes(c.Addr), Clock: c.Clock.Microseconds()})
-	signer := b.certificate
+	signer := cd.certificate
 	if c.Kind == gossip.Accused {
-		signer = b.ownKey[:]
+		signer = cd.ownKey[:]
 	}
-	return marshal(&claimItem{Body: body, Signer: signer, Signature: ed25519.Sign(b.keyring.Private, append([]byte(claimDomain+b.cluster+"\x00"), body...))})
+	return marshal(&claimItem{Body: body, Signer: signer, Signature: ed25519.Sign(cd.keyring.Private, append([]byte(claimDomain+cd.cluster+"\x00"), body...))})
 }
 
-// encodeRumour does so for a rumour. Those of our own are signed once each.
-func (b *Book) encodeRumour(r *gossip.Rumour) []byte {
+// encodeRumour returns a rumour's encoding as it was received, or signs and encodes one of the instance's own. Each
+// of those is signed once, as long as it is cached.
+func (cd *Book) encodeRumour(r *gossip.Rumour) []byte {
 	if r.Raw != nil {
 		return r.Raw
 	}
-	if raw := b.signedRumours[r.Number]; raw != nil {
+	if raw := cd.signedRumours[r.Number]; raw != nil {
 		return raw
 	}
 	body := marshal(&rumourBody{Key: r.Key[:], Run: r.Run, Server: r.Server, Symptom: r.Symptom, Strength: r.Strength, Number: r.Number,
 		Made: r.Made.Microseconds()})
-	raw := marshal(&rumourItem{Body: body, Signature: ed25519.Sign(b.keyring.Private, append([]byte(rumourDomain+b.cluster+"\x00"), body...))})
-	if len(b.signedOrder) >= maxSigned {
-		delete(b.signedRumours, b.signedOrder[0])
-		b.signedOrder = b.signedOrder[1:]
+	raw := marshal(&rumourItem{Body: body, Signature: ed25519.Sign(cd.keyring.Private, append([]byte(rumourDomain+cd.cluster+"\x00"), body...))})
+	if len(cd.signedOrder) >= maxSigned {
+		delete(cd.signedRumours, cd.signedOrder[0])
+		cd.signedOrder = cd.signedOrder[1:]
 	}
-	b.signedRumours[r.Number] = raw
-	b.signedOrder = append(b.signedOrder, r.Number)
+	cd.signedRumours[r.Number] = raw
+	cd.signedOrder = append(cd.signedOrder, r.Number)
 	return raw
 }
 
-// verifySignature checks an item's signature, once for each item as long as it is remembered.
-func (b *Book) verifySignature(public ed25519.PublicKey, domain string, body, proof []byte) bool {
+// verifySignature reports whether an item's signature is valid. Valid signatures are cached, so that an item is usually
+// verified only once.
+func (cd *Book) verifySignature(public ed25519.PublicKey, domain string, body, signature []byte) bool {
 	h := sha256.New()
 	h.Write([]byte(domain))
 	h.Write(public)
 	h.Write(body)
-	h.Write(proof)
+	h.Write(signature)
 	var sum [16]byte
 	copy(sum[:], h.Sum(nil))
-	if _, ok := b.verified[sum]; ok {
+	if _, ok := cd.verified[sum]; ok {
 		return true
 	}
-	if len(proof) != ed25519.SignatureSize || !ed25519.Verify(public, append([]byte(domain+b.cluster+"\x00"), body...), proof) {
+	if len(signature) != ed25519.SignatureSize || !ed25519.Verify(public, append([]byte(domain+cd.cluster+"\x00"), body...), signature) {
 		return false
 	}
-	if len(b.verifiedOrder) >= maxVerified {
-		delete(b.verified, b.verifiedOrder[0])
-		b.verifiedOrder = b.verifiedOrder[1:]
+	if len(cd.verifiedOrder) >= maxVerified {
+		delete(cd.verified, cd.verifiedOrder[0])
+		cd.verifiedOrder = cd.verifiedOrder[1:]
 	}
-	b.verified[sum] = struct{}{}
-	b.verifiedOrder = append(b.verifiedOrder, sum)
+	cd.verified[sum] = struct{}{}
+	cd.verifiedOrder = append(cd.verifiedOrder, sum)
 	return true
 }
 
 // verifyClaim proves one verifyClaim.
-func (b *Book) verifyClaim(raw []byte) (c gossip.Claim, err error) {
+func (cd *Book) verifyClaim(raw []byte) (c gossip.Claim, err error) {
 	var item claimItem
 	var body claimBody
 	if keys.Dec.Unmarshal(raw, &item) != nil || keys.Dec.Unmarshal(item.Body, &body) != nil {
@@ -328,9 +338,9 @@
 	}
 	var p *Peer
 	if len(item.Signer) == len(gossip.KeyID{}) {
-		p, err = b.validPeer(gossip.KeyID(item.Signer))
+		p, err = cd.validPeer(gossip.KeyID(item.Signer))
 	} else {
-		p, err = b.verifyPeer(item.Signer)
+		p, err = cd.verifyPeer(item.Signer)
 	}
 	if err != nil {
 		return c, err
@@ -341,29 +351,29 @@
 		body.Kind == gossip.Alive && !addr.IsValid() {
 		return c, ErrForm
 	}
-	if !b.verifySignature(p.Public, claimDomain, item.Body, item.Signature) {
+	if !cd.verifySignature(p.Public, claimDomain, item.Body, item.Signature) {
 		return c, ErrSignature
 	}
 	return gossip.Claim{Kind: body.Kind, Name: body.Name, Incarnation: body.Incarnation, By: p.Name, Key: p.Key, Run: body.Run, Addr: addr,
 		Clock: time.Duration(body.Clock) * time.Microsecond, Raw: raw}, nil
 }
 
-// maxClockMicroseconds is the longest that an instance may claim to have run, in microseconds: a century.
+// maxClockMicroseconds is the maximum uptime that an instance may claim: 100 years.
 const maxClockMicroseconds = 100 * 365 * 24 * 3600 * 1e6
 
 // verifyRumour proves one verifyRumour.
-func (b *Book) verifyRumour(t *agedRumour) (told gossip.Told, err error) {
+func (cd *Book) verifyRumour(t *agedRumour) (told gossip.Told, err error) {
 	var item rumourItem
 	var body rumourBody
 	if keys.Dec.Unmarshal(t.Raw, &item) != nil || keys.Dec.Unmarshal(item.Body, &body) != nil || len(body.Key) != len(gossip.KeyID{}) ||
 		body.Symptom > gossip.Late || body.Made < 0 || body.Made > maxClockMicroseconds {
 		return told, ErrForm
 	}
-	p, err := b.validPeer(gossip.KeyID(body.Key))
+	p, err := cd.validPeer(gossip.KeyID(body.Key))
 	if err != nil {
 		return told, err
 	}
-	if !b.verifySignature(p.Public, rumourDomain, item.Body, item.Signature) {
+	if !cd.verifySignature(p.Public, rumourDomain, item.Body, item.Signature) {
 		return told, ErrSignature
 	}
 	age := time.Duration(min(max(0, t.Age), maxClockMicroseconds/1000)) * time.Millisecond
@@ -371,13 +381,14 @@
 		Strength: body.Strength, Number: body.Number, Made: time.Duration(body.Made) * time.Microsecond, Raw: t.Raw}}, nil
 }
 
-// Knows tells whether a key's certificate has been proved.
-func (b *Book) Knows(id gossip.KeyID) bool { return b.peers[id] != nil }
+// Knows reports whether the certificate of a key has been verified.
+func (cd *Book) Knows(id gossip.KeyID) bool { return cd.peers[id] != nil }
 
-// Datagram encodes, signs and tags a message for the instance of a key. Nothing is sent to one that is not known. The
-// certificate goes along where a claim of our own does: that is where the receiver may not know us.
-func (b *Book) Datagram(to gossip.KeyID, m *gossip.Message) ([]byte, error) {
-	p, err := b.validPeer(to)
+// EncodeDatagram encodes, signs and tags a message for the peer with the given key. It fails if the peer is unknown.
+// The datagram carries this instance's certificate if its first claim is the instance's own; datagrams to a receiver
+// that may not know the instance start with such a claim.
+func (cd *Book) Datagram(to gossip.KeyID, m *gossip.Message) ([]byte, error) {
+	p, err := cd.validPeer(to)
 	if err != nil {
 		return nil, err
 	}
@@ -387,34 +398,36 @@
 		if m.Claims[i].Raw == nil && m.Claims[i].Kind != gossip.Accused && i == 0 {
 			flags = flagCertificate
 		}
-		body.Claims = append(body.Claims, b.encodeClaim(&m.Claims[i]))
+		body.Claims = append(body.Claims, cd.encodeClaim(&m.Claims[i]))
 	}
 	for i := range m.Rumours {
-		body.Rumours = append(body.Rumours, agedRumour{Raw: b.encodeRumour(&m.Rumours[i].Rumour), Age: m.Rumours[i].Age.Milliseconds()})
+		body.Rumours = append(body.Rumours, agedRumour{Raw: cd.encodeRumour(&m.Rumours[i].Rumour), Age: m.Rumours[i].Age.Milliseconds()})
 	}
-	b.counter++
+	cd.counter++
 	d := make([]byte, 0, 1400)
 	d = append(d, 'g', 'w', protocolVersion, flags)
-	d = byteOrder.AppendUint32(d, b.clusterHash)
-	d = append(d, b.ownKey[:]...)
-	d = byteOrder.AppendUint64(d, b.runID)
-	d = byteOrder.AppendUint64(d, b.counter)
+	d = byteOrder.AppendUint32(d, cd.clusterHash)
+	d = append(d, cd.ownKey[:]...)
+	d = byteOrder.AppendUint64(d, cd.runID)
+	d = byteOrder.AppendUint64(d, cd.counter)
 	d = append(d, make([]byte, tagSize)...)
 	d = append(d, marshal(&body)...)
-	d = append(d, ed25519.Sign(b.keyring.Private, b.signedBytes(d))...)
+	d = append(d, ed25519.Sign(cd.keyring.Private, cd.signedBytes(d))...)
 	copy(d[tagOffset:], datagramTag(p.Shared, d))
 	return d, nil
 }
 
-// signedBytes is what a datagram's signature covers: all but the tag, which is made last and differs for each receiver anyway.
-func (b *Book) signedBytes(d []byte) []byte {
-	s := make([]byte, 0, len(datagramDomain)+len(b.cluster)+1+len(d))
+// signedBytes returns the bytes that a datagram's signature covers: everything but the tag, which is computed last and
+// differs between receivers.
+func (cd *Book) signedBytes(d []byte) []byte {
+	s := make([]byte, 0, len(datagramDomain)+len(cd.cluster)+1+len(d))
 	s = append(s, datagramDomain...)
-	s = append(append(s, b.cluster...), 0)
+	s = append(append(s, cd.cluster...), 0)
 	s = append(s, d[:tagOffset]...)
 	return append(s, d[headerSize:]...)
 }
 
+// datagramTag returns the truncated HMAC of a datagram without its tag.
 func datagramTag(secret, d []byte) []byte {
 	m := hmac.New(sha256.New, secret)
 	m.Write(d[:tagOffset])
@@ -422,15 +435,15 @@
 	return m.Sum(nil)[:tagSize]
 }
 
-// Meets tells whether opening a datagram would mean to prove a certificate that is not known yet, which costs most. It looks
-// at a few bytes only.
-func (b *Book) Meets(d []byte) bool {
-	return len(d) > headerSize && d[3]&flagCertificate != 0 && b.peers[gossip.KeyID(d[8:16])] == nil
+// HasUnknownCertificate reports whether opening a datagram involves verifying a certificate that is not known yet,
+// which is the most expensive case. It reads only a few bytes of the header.
+func (cd *Book) Meets(d []byte) bool {
+	return len(d) > headerSize && d[3]&flagCertificate != 0 && cd.peers[gossip.KeyID(d[8:16])] == nil
 }
 
-// Open proves a datagram and decodes it. Items in it that do not hold are left out, and counted by cause in dropped. The
-// checks come in the order of their cost.
-func (b *Book) Open(d []byte, dropped func(error)) (gossip.Datagram, error) {
+// Open verifies and decodes a datagram. Invalid items in it are left out and their errors passed to dropped. Cheaper
+// checks come first.
+func (cd *Book) Open(d []byte, dropped func(error)) (gossip.Datagram, error) {
 	var out gossip.Datagram
 	if len(d) < headerSize+ed25519.SignatureSize || d[0] != 'g' || d[1] != 'w' {
 		return out, ErrForm
@@ -438,14 +451,14 @@
 	if d[2] != protocolVersion {
 		return out, ErrVersion
 	}
-	if byteOrder.Uint32(d[4:]) != b.clusterHash {
+	if byteOrder.Uint32(d[4:]) != cd.clusterHash {
 		return out, ErrCluster
 	}
 	id := gossip.KeyID(d[8:16])
 	rest := d[headerSize : len(d)-ed25519.SignatureSize]
-	p, err := b.validPeer(id)
+	p, err := cd.validPeer(id)
 	if err == ErrStranger && d[3]&flagCertificate != 0 {
-		p, err = b.verifySender(id, rest)
+		p, err = cd.verifySender(id, rest)
 	}
 	if err != nil {
 		return out, err
@@ -453,19 +466,19 @@
 	if !hmac.Equal(datagramTag(p.Shared, d), d[tagOffset:headerSize]) {
 		return out, ErrTag
 	}
-	signed := b.signedBytes(d[:len(d)-ed25519.SignatureSize])
+	signed := cd.signedBytes(d[:len(d)-ed25519.SignatureSize])
 	if !ed25519.Verify(p.Public, signed, d[len(d)-ed25519.SignatureSize:]) {
 		return out, ErrSignature
 	}
-	m, err := b.decodeMessage(rest, dropped)
+	m, err := cd.decodeMessage(rest, dropped)
 	if err != nil {
 		return out, err
 	}
 	return gossip.Datagram{From: p.Name, Key: p.Key, Run: byteOrder.Uint64(d[16:]), Counter: byteOrder.Uint64(d[24:]), Message: m}, nil
 }
 
-// verifySender looks into a body that is not proved yet for the certificate of who sent it.
-func (b *Book) verifySender(id gossip.KeyID, raw []byte) (*Peer, error) {
+// verifySender verifies the sender's certificate, which it takes from a body that is not verified yet.
+func (cd *Book) verifySender(id gossip.KeyID, raw []byte) (*Peer, error) {
 	var body messageBody
 	var item claimItem
 	if keys.Dec.Unmarshal(raw, &body) != nil || len(body.Claims) == 0 || keys.Dec.Unmarshal(body.Claims[0], &item) != nil {
@@ -474,10 +487,11 @@
 	if c, err := keys.ParseCertificate(item.Signer); err != nil || c.Key() != id {
 		return nil, ErrForm
 	}
-	return b.verifyPeer(item.Signer)
+	return cd.verifyPeer(item.Signer)
 }
 
-func (b *Book) decodeMessage(raw []byte, dropped func(error)) (*gossip.Message, error) {
+// decodeMessage decodes the body of a datagram and verifies its items.
+func (cd *Book) decodeMessage(raw []byte, dropped func(error)) (*gossip.Message, error) {
 	var body messageBody
 	if err := keys.Dec.Unmarshal(raw, &body); err != nil {
 		return nil, ErrForm
@@ -489,21 +503,21 @@
 	}
 	m := &gossip.Message{Kind: body.Kind, Number: body.Number, Prove: body.Prove, Target: body.Target, TargetAt: at,
 		Clock: time.Duration(body.Clock) * time.Microsecond}
-	m.Claims, m.Rumours = b.verifyItems(body.Claims, body.Rumours, dropped)
+	m.Claims, m.Rumours = cd.verifyItems(body.Claims, body.Rumours, dropped)
 	return m, nil
 }
 
-// verifyItems proves claims and rumours; claims first, as they bring the certificates of who made the rumours.
-func (b *Book) verifyItems(claims [][]byte, rumours []agedRumour, dropped func(error)) (cs []gossip.Claim, rs []gossip.Told) {
+// verifyItems verifies claims and rumours: claims first, as they carry the certificates of the rumours' observers.
+func (cd *Book) verifyItems(claims [][]byte, rumours []agedRumour, dropped func(error)) (cs []gossip.Claim, rs []gossip.Told) {
 	for _, raw := range claims {
-		if c, err := b.verifyClaim(raw); err == nil {
+		if c, err := cd.verifyClaim(raw); err == nil {
 			cs = append(cs, c)
 		} else {
 			dropped(err)
 		}
 	}
 	for i := range rumours {
-		if t, err := b.verifyRumour(&rumours[i]); err == nil {
+		if t, err := cd.verifyRumour(&rumours[i]); err == nil {
 			rs = append(rs, t)
 		} else {
 			dropped(err)
@@ -512,18 +526,18 @@
 	return cs, rs
 }
 
-// EncodeDigest encodes a digest for a stream.
-func (b *Book) EncodeDigest(d *gossip.Digest) []byte {
-	return marshal(&digestBody{Own: b.encodeClaim(&d.Own), Members: d.Members, Dead: d.Dead, Rumours: d.Rumours})
+// EncodeDigest encodes a digest for a stream, signing the instance's own claim.
+func (cd *Book) EncodeDigest(d *gossip.Digest) []byte {
+	return marshal(&digestBody{Own: cd.encodeClaim(&d.Own), Members: d.Members, Dead: d.Dead, Rumours: d.Rumours})
 }
 
-// Digest decodes one that came from an instance; what it says of itself must be its own.
-func (b *Book) Digest(raw []byte, from *Peer) (*gossip.Digest, error) {
+// DecodeDigest decodes a digest received from a peer. The claim in it must be the peer's own.
+func (cd *Book) Digest(raw []byte, from *Peer) (*gossip.Digest, error) {
 	var body digestBody
 	if err := keys.Dec.Unmarshal(raw, &body); err != nil || len(body.Members)+len(body.Dead)+len(body.Rumours) > 3*maxMarks {
 		return nil, ErrForm
 	}
-	own, err := b.verifyClaim(body.Own)
+	own, err := cd.verifyClaim(body.Own)
 	if err != nil {
 		return nil, err
 	}
@@ -534,13 +548,13 @@
 }
 
 // EncodeItems encodes items for a stream.
-func (b *Book) EncodeItems(i *gossip.Items) []byte {
+func (cd *Book) EncodeItems(i *gossip.Items) []byte {
 	body := itemsBody{Wants: i.Wants, Lacks: i.Lacks, Alive: i.Alive}
 	for j := range i.Claims {
-		body.Claims = append(body.Claims, b.encodeClaim(&i.Claims[j]))
+		body.Claims = append(body.Claims, cd.encodeClaim(&i.Claims[j]))
 	}
 	for j := range i.Rumours {
-		body.Rumours = append(body.Rumours, agedRumour{Raw: b.encodeRumour(&i.Rumours[j].Rumour), Age: i.Rumours[j].Age.Milliseconds()})
+		body.Rumours = append(body.Rumours, agedRumour{Raw: cd.encodeRumour(&i.Rumours[j].Rumour), Age: i.Rumours[j].Age.Milliseconds()})
 	}
 	if i.SeenAt.IsValid() {
 		body.SeenAt, _ = i.SeenAt.MarshalBinary()
@@ -548,8 +562,8 @@
 	return marshal(&body)
 }
 
-// Items decodes items; those that do not hold are left out.
-func (b *Book) Items(raw []byte, dropped func(error)) (*gossip.Items, error) {
+// DecodeItems decodes items. Invalid ones are left out and their errors passed to dropped.
+func (cd *Book) Items(raw []byte, dropped func(error)) (*gossip.Items, error) {
 	var body itemsBody
 	if err := keys.Dec.Unmarshal(raw, &body); err != nil || len(body.Wants)+len(body.Lacks)+len(body.Alive) > 3*maxMarks ||
 		len(body.Claims)+len(body.Rumours) > 8*maxItems {
@@ -559,35 +573,39 @@
 	if len(body.SeenAt) > 0 && i.SeenAt.UnmarshalBinary(body.SeenAt) != nil {
 		return nil, ErrForm
 	}
-	i.Claims, i.Rumours = b.verifyItems(body.Claims, body.Rumours, dropped)
+	i.Claims, i.Rumours = cd.verifyItems(body.Claims, body.Rumours, dropped)
 	return i, nil
 }
 
-// TagSize is the length of a frame's tag on a stream.
+// TagSize is the size of the tag of a frame on a stream, in bytes.
 const TagSize = tagSize
 
-// Cluster is the mark of the cluster.
-func (b *Book) Cluster() uint32 { return b.clusterHash }
+// ClusterHash returns the hash of the cluster's name that identifies the cluster in headers.
+func (cd *Book) Cluster() uint32 { return cd.clusterHash }
 
-// Certificate is the instance's own, encoded.
-func (b *Book) Certificate() []byte { return b.certificate }
+// Certificate returns the instance's own certificate, encoded.
+func (cd *Book) Certificate() []byte { return cd.certificate }
 
-// Meet proves the certificate of an instance on a stream.
-func (b *Book) Meet(cert []byte) (*Peer, error) { return b.verifyPeer(cert) }
+// VerifyPeer verifies the certificate of the instance at the other end of a stream.
+func (cd *Book) Meet(cert []byte) (*Peer, error) { return cd.verifyPeer(cert) }
 
-// Session tags the frames of one stream, each way by itself and in order.
+// StreamMAC computes and verifies the tags of the frames on one stream. The frames of each direction are numbered, so
+// that they have to arrive complete and in order.
 type Session struct {
-	key                     []byte
-	sent, received          uint64
-	sendLabel, receiveLabel byte
+	key          []byte
+	sent         uint64 // frames
+	received     uint64 // frames
+	sendLabel    byte   // 'o' for frames of the side that opened the stream, 'a' for those of the other
+	receiveLabel byte
 }
 
-// Session makes the one of a stream from both sides' fresh numbers, of who opened it first.
-func (b *Book) Session(p *Peer, opener, other []byte, opened bool) *Session {
+// NewStreamMAC returns the StreamMAC of a stream with a peer. Its key is derived from the shared secret and the
+// nonces of the opening and the accepting side. Opened tells whether this side opened the stream.
+func (cd *Book) Session(p *Peer, openerNonce, acceptorNonce []byte, opened bool) *Session {
 	m := hmac.New(sha256.New, p.Shared)
 	m.Write([]byte("gorsewell stream 1\x00"))
-	m.Write(opener)
-	m.Write(other)
+	m.Write(openerNonce)
+	m.Write(acceptorNonce)
 	s := &Session{key: m.Sum(nil), sendLabel: 'o', receiveLabel: 'a'}
 	if !opened {
 		s.sendLabel, s.receiveLabel = s.receiveLabel, s.sendLabel
@@ -595,20 +613,21 @@
 	return s
 }
 
-func (s *Session) compute(way byte, number uint64, frame []byte) []byte {
+// compute returns the tag of a frame, given the label of its direction and its number.
+func (s *Session) compute(label byte, number uint64, frame []byte) []byte {
 	m := hmac.New(sha256.New, s.key)
-	m.Write(byteOrder.AppendUint64([]byte{way}, number))
+	m.Write(byteOrder.AppendUint64([]byte{label}, number))
 	m.Write(frame)
 	return m.Sum(nil)[:tagSize]
 }
 
-// Seal is the tag of the next frame that goes out.
+// Tag returns the tag of the next frame to send.
 func (s *Session) Seal(frame []byte) []byte {
 	s.sent++
 	return s.compute(s.sendLabel, s.sent, frame)
 }
 
-// Fits checks the tag of the next frame that has come in.
+// Verify reports whether the tag of the next received frame is valid.
 func (s *Session) Fits(frame, tag []byte) bool {
 	s.received++
 	return hmac.Equal(s.compute(s.receiveLabel, s.received, frame), tag)
--- a/internal/gossip/wire/wire_test.go
+++ b/internal/gossip/wire/wire_test.go
@@ -18,7 +18,7 @@
 
 var startTime = time.Unix(1_800_000_000, 0)
 
-// fixture is an authority with instances, and a clock that the test moves.
+// fixture issues keyrings of one authority and holds the clock of its codecs, which tests advance.
 type fixture struct {
 	t         testing.TB
 	authority *keys.Authority
@@ -33,38 +33,41 @@
 	return &fixture{t: t, authority: a, now: startTime}
 }
 
-func (h *fixture) issueKeyring(name string, authorities ...*keys.Authority) *keys.Keyring {
+// issueKeyring returns a keyring with a new key, certified for an hour, that accepts the fixture's and other
+// authorities.
+func (f *fixture) issueKeyring(name string, authorities ...*keys.Authority) *keys.Keyring {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		h.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	c, err := h.authority.Issue(name, public, h.now.Add(time.Hour))
+	c, err := f.authority.Issue(name, public, f.now.Add(time.Hour))
 	if err != nil {
-		h.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	k, err := keys.NewKeyring(c, private, append(authorities, h.authority), h.now)
+	k, err := keys.NewKeyring(c, private, append(authorities, f.authority), f.now)
 	if err != nil {
-		h.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	return k
 }
 
-func (h *fixture) newCodec(name, cluster string) *Book {
-	return NewBook(h.issueKeyring(name), cluster, uint64(len(name))*77, 8, func() time.Time { return h.now })
+func (f *fixture) newCodec(name, cluster string) *Book {
+	return NewBook(f.issueKeyring(name), cluster, uint64(len(name))*77, 8, func() time.Time { return f.now })
 }
 
-// introduce makes two instances that know each other.
-func (h *fixture) introduce(a, b *Book) {
+// introduce makes the certificates of two instances known to each other.
+func (f *fixture) introduce(a, b *Book) {
 	if _, err := a.verifyPeer(b.certificate); err != nil {
-		h.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 	if _, err := b.verifyPeer(a.certificate); err != nil {
-		h.t.Fatal(err)
+		f.t.Fatal(err)
 	}
 }
 
 var testAddr = netip.MustParseAddrPort("10.1.2.3:7946")
 
+// aliveClaim returns a claim of the instance itself.
 func aliveClaim(b *Book) gossip.Claim {
 	return gossip.Claim{Kind: gossip.Alive, Name: b.keyring.Certificate.Name, By: b.keyring.Certificate.Name, Key: b.ownKey, Run: b.runID, Incarnation: 7,
 		Addr: testAddr, Clock: 5 * time.Second}
@@ -75,18 +78,19 @@
 		Number: number, Made: 99 * time.Hour}
 }
 
+// failOnDrop returns a callback that fails the test for each dropped item.
 func failOnDrop(t testing.TB) func(error) {
 	return func(err error) {
 		t.Helper()
-		t.Errorf("dropped: %v", err)
+		t.Errorf("dropped item: got error %v, want none", err)
 	}
 }
 
-func TestAMessageComesAsItWasSentAndItemsCanBePassedOn(t *testing.T) {
-	h := newFixture(t)
-	a, b, c := h.newCodec("alpha", "x"), h.newCodec("beta", "x"), h.newCodec("gamma", "x")
-	h.introduce(a, b)
-	h.introduce(b, c)
+func TestDatagramRoundTripAndForwardedItems(t *testing.T) {
+	f := newFixture(t)
+	a, b, c := f.newCodec("alpha", "x"), f.newCodec("beta", "x"), f.newCodec("gamma", "x")
+	f.introduce(a, b)
+	f.introduce(b, c)
 	accused := gossip.Claim{Kind: gossip.Accused, Name: "delta", By: "alpha", Key: a.ownKey, Run: a.runID, Incarnation: 3, Clock: time.Second}
 	m := &gossip.Message{Kind: gossip.PingFor, Number: 9, Prove: true, Target: "gamma", TargetAt: testAddr, Clock: time.Minute,
 		Claims: []gossip.Claim{aliveClaim(a), accused}, Rumours: []gossip.Told{{Rumour: silentRumour(a, 1), Age: 1500 * time.Millisecond}}}
@@ -99,39 +103,39 @@
 		t.Fatal(err)
 	}
 	if got.From != "alpha" || got.Key != a.ownKey || got.Run != a.runID || got.Counter != 1 {
-		t.Errorf("%+v", got)
+		t.Errorf("datagram header: got %+v, want the name, key and run of alpha and counter 1", got)
 	}
 	bare := *got.Message
 	for i := range bare.Claims {
 		if bare.Claims[i].Raw == nil {
-			t.Error("a claim cannot be passed on")
+			t.Error("claim to be forwarded: got no raw encoding, want one")
 		}
 		bare.Claims[i].Raw = nil
 	}
-	passed := bare.Rumours[0]
+	forwarded := bare.Rumours[0]
 	bare.Rumours = slices.Clone(bare.Rumours)
 	bare.Rumours[0].Raw = nil
 	if !reflect.DeepEqual(&bare, m) {
-		t.Errorf("sent %+v\ncame %+v", m, &bare)
+		t.Errorf("message: want %+v\ngot %+v", m, &bare)
 	}
-	// Passed on by one who cannot have made it, with the certificate of who did.
+	// beta forwards the items, which alpha has signed, together with alpha's certificate.
 	fromA := got.Message.Claims[0]
 	fromA.Raw = a.encodeClaim(&gossip.Claim{Kind: gossip.Alive, Name: "alpha", Run: a.runID, Incarnation: 7, Addr: testAddr, Clock: 5 * time.Second})
-	d, err = b.Datagram(c.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{fromA}, Rumours: []gossip.Told{passed}})
+	d, err = b.Datagram(c.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{fromA}, Rumours: []gossip.Told{forwarded}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err = c.Open(d, failOnDrop(t))
 	if err != nil || got.Message.Rumours[0].Observer != "alpha" || got.Message.Claims[0].By != "alpha" || got.From != "beta" {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("forwarded items: got %+v, error %v, want a claim and a rumour by alpha, sent by beta", got, err)
 	}
 }
 
-// Whatever is changed, and wherever it is cut, nothing of it is taken.
-func TestAnAlteredDatagramIsDropped(t *testing.T) {
-	h := newFixture(t)
-	a, b := h.newCodec("alpha", "x"), h.newCodec("beta", "x")
-	h.introduce(a, b)
+// A datagram with any byte changed, removed from its end or added to it is dropped as a whole.
+func TestOpenRejectsAlteredDatagram(t *testing.T) {
+	f := newFixture(t)
+	a, b := f.newCodec("alpha", "x"), f.newCodec("beta", "x")
+	f.introduce(a, b)
 	d, err := a.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Ping, Number: 1, Rumours: []gossip.Told{{Rumour: silentRumour(a, 1)}}})
 	if err != nil {
 		t.Fatal(err)
@@ -140,25 +144,25 @@
 		bad := slices.Clone(d)
 		bad[i] ^= 1
 		if _, err := b.Open(bad, func(error) {}); err == nil {
-			t.Fatalf("taken with byte %d changed", i)
+			t.Fatalf("datagram with byte %d changed: got no error, want one", i)
 		}
 		if _, err := b.Open(d[:i], func(error) {}); err == nil {
-			t.Fatalf("taken when cut at %d", i)
+			t.Fatalf("datagram cut at byte %d: got no error, want one", i)
 		}
 	}
 	if _, err := b.Open(append(slices.Clone(d), 0), func(error) {}); err == nil {
-		t.Error("taken with a byte too many")
+		t.Error("datagram with an extra byte: got no error, want one")
 	}
 }
 
-func TestWhatIsDroppedAndWhy(t *testing.T) {
-	h := newFixture(t)
-	a, b := h.newCodec("alpha", "x"), h.newCodec("beta", "x")
-	other, stranger := h.newCodec("beta", "y"), h.newCodec("stranger", "x")
+func TestOpenReturnsCauseOfDrop(t *testing.T) {
+	f := newFixture(t)
+	a, b := f.newCodec("alpha", "x"), f.newCodec("beta", "x")
+	other, stranger := f.newCodec("beta", "y"), f.newCodec("stranger", "x")
 	foreign := newFixture(t).newCodec("foreign", "x")
-	h.introduce(a, b)
-	h.introduce(a, other)
-	h.introduce(stranger, b)
+	f.introduce(a, b)
+	f.introduce(a, other)
+	f.introduce(stranger, b)
 	delete(b.peers, stranger.ownKey)
 	ping := &gossip.Message{Kind: gossip.Ping}
 	send := func(from *Book, to *Book, m *gossip.Message) []byte {
@@ -171,17 +175,17 @@
 	open := func(d []byte, want error) {
 		t.Helper()
 		if _, err := b.Open(d, func(error) {}); !errors.Is(err, want) {
-			t.Errorf("%v, want %v", err, want)
+			t.Errorf("Open: got error %v, want %v", err, want)
 		}
 	}
-	other.clusterHash, other.cluster = b.clusterHash, "y" // who forges the cluster's mark still lacks its secret
+	other.clusterHash, other.cluster = b.clusterHash, "y" // a forged cluster hash does not give the cluster's shared secrets
 	d := send(other, a, ping)
 	if _, err := a.Open(d, func(error) {}); err == nil {
-		t.Error("a datagram of another cluster was taken")
+		t.Error("datagram of another cluster: got no error, want one")
 	}
-	open(send(a, other, ping), ErrTag) // meant for another
+	open(send(a, other, ping), ErrTag) // for another receiver
 	open(send(stranger, b, ping), ErrStranger)
-	open(send(stranger, b, &gossip.Message{Kind: gossip.Ping, Claims: []gossip.Claim{aliveClaim(stranger)}}), nil) // who brings a certificate is met
+	open(send(stranger, b, &gossip.Message{Kind: gossip.Ping, Claims: []gossip.Claim{aliveClaim(stranger)}}), nil) // the datagram carries the sender's certificate
 	foreign.peers[b.ownKey] = &Peer{Key: b.ownKey, Until: 1 << 60, Shared: []byte("guessed")}
 	open(send(foreign, b, &gossip.Message{Kind: gossip.Ping, Claims: []gossip.Claim{aliveClaim(foreign)}}), ErrAuthority)
 	old := send(a, b, ping)
@@ -190,82 +194,85 @@
 	open([]byte("gw"), ErrForm)
 	open(slices.Concat([]byte("gw\x01\x00"), make([]byte, 400)), ErrCluster)
 
-	late := send(a, b, ping)
-	h.now = h.now.Add(2 * time.Hour)
-	open(late, ErrExpired)
+	expired := send(a, b, ping)
+	f.now = f.now.Add(2 * time.Hour)
+	open(expired, ErrExpired)
 	if got := b.Expired(); len(got) != 2 || b.Knows(a.ownKey) {
-		t.Errorf("expired %v", got)
+		t.Errorf("expired keys: got %v, want those of 2 peers, which are then unknown", got)
 	}
-	open(late, ErrStranger)
+	open(expired, ErrStranger)
 }
 
-// A relay cannot make a rumour, nor a word on a member, that it has not been given.
-func TestNobodySignsForAnother(t *testing.T) {
-	h := newFixture(t)
-	a, b, liar := h.newCodec("alpha", "x"), h.newCodec("beta", "x"), h.newCodec("liar", "x")
-	h.introduce(a, b)
-	h.introduce(liar, b)
-	h.introduce(liar, a)
-	forged := silentRumour(a, 5) // in alpha's name, signed by the liar
+// An instance that forwards items cannot forge a claim or a rumour of another instance.
+func TestItemsSignedForAnotherAreDropped(t *testing.T) {
+	f := newFixture(t)
+	a, b, liar := f.newCodec("alpha", "x"), f.newCodec("beta", "x"), f.newCodec("liar", "x")
+	f.introduce(a, b)
+	f.introduce(liar, b)
+	f.introduce(liar, a)
+	forged := silentRumour(a, 5) // alpha's rumour, signed by the liar
 	claim := aliveClaim(a)
 	claim.Raw = marshal(&claimItem{Body: marshal(&claimBody{Kind: gossip.Alive, Name: "alpha", Incarnation: 99, Addr: addrBytes(testAddr)}), Signer: liar.certificate,
 		Signature: make([]byte, 64)})
 	resigned := aliveClaim(a)
 	body := marshal(&claimBody{Kind: gossip.Alive, Name: "alpha", Incarnation: 99, Addr: addrBytes(testAddr)})
 	resigned.Raw = marshal(&claimItem{Body: body, Signer: a.certificate, Signature: ed25519.Sign(liar.keyring.Private, append([]byte(claimDomain+"x\x00"), body...))})
-	var causes []error
+	var drops []error
 	d, err := liar.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{claim, resigned}, Rumours: []gossip.Told{{Rumour: forged}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := b.Open(d, func(err error) { causes = append(causes, err) })
+	got, err := b.Open(d, func(err error) { drops = append(drops, err) })
 	if err != nil || len(got.Message.Claims) != 0 || len(got.Message.Rumours) != 0 ||
-		!slices.Equal(causes, []error{ErrForm, ErrSignature, ErrSignature}) {
-		t.Errorf("%v, %+v, %v", err, got.Message, causes)
+		!slices.Equal(drops, []error{ErrForm, ErrSignature, ErrSignature}) {
+		t.Errorf("Open: got error %v, message %+v, drops %v, want no error, no items, one malformed and two with invalid signatures",
+			err, got.Message, drops)
 	}
-	// A signature of one kind does not pass for another.
+	// A signature of a claim is not valid for a rumour with the same bytes.
 	if b.verifySignature(a.keyring.Certificate.Public, rumourDomain, body, ed25519.Sign(a.keyring.Private, append([]byte(claimDomain+"x\x00"), body...))) {
-		t.Error("a claim's signature passes for a rumour's")
+		t.Error("claim's signature on a rumour: got valid, want invalid")
 	}
 }
 
-func TestRotationOfKeysAndAuthorities(t *testing.T) {
-	h, next := newFixture(t), newFixture(t)
-	a, b := h.newCodec("alpha", "x"), NewBook(h.issueKeyring("beta", next.authority), "x", 1, 8, func() time.Time { return h.now })
-	h.introduce(a, b)
-	c, err := next.authority.Issue("alpha", a.keyring.Certificate.Public, h.now.Add(time.Hour))
+func TestRekeyDuringAuthorityRotation(t *testing.T) {
+	f, next := newFixture(t), newFixture(t)
+	a, b := f.newCodec("alpha", "x"), NewBook(f.issueKeyring("beta", next.authority), "x", 1, 8, func() time.Time { return f.now })
+	f.introduce(a, b)
+	c, err := next.authority.Issue("alpha", a.keyring.Certificate.Public, f.now.Add(time.Hour))
 	if err != nil {
 		t.Fatal(err)
 	}
-	both, err := keys.NewKeyring(c, a.keyring.Private, []*keys.Authority{h.authority, next.authority}, h.now)
+	both, err := keys.NewKeyring(c, a.keyring.Private, []*keys.Authority{f.authority, next.authority}, f.now)
 	if err != nil {
 		t.Fatal(err)
 	}
 	a.Rekey(both)
 	if !a.Knows(b.ownKey) {
-		t.Error("forgot one whose authority counts still")
+		t.Error("peer of an authority that is still accepted: got unknown, want known")
 	}
 	d, err := a.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Ping, Claims: []gossip.Claim{aliveClaim(a)}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := b.Open(d, failOnDrop(t)); err != nil {
-		t.Error("during the rotation:", err)
+		t.Error("Open during the rotation: got error, want none:", err)
 	}
-	only, err := keys.NewKeyring(c, a.keyring.Private, []*keys.Authority{next.authority}, h.now)
+	only, err := keys.NewKeyring(c, a.keyring.Private, []*keys.Authority{next.authority}, f.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if ended := a.Rekey(only); !slices.Equal(ended, []gossip.KeyID{b.ownKey}) || a.Knows(b.ownKey) {
-		t.Errorf("after the withdrawal: ended %v", ended)
+	if rejected := a.Rekey(only); !slices.Equal(rejected, []gossip.KeyID{b.ownKey}) || a.Knows(b.ownKey) {
+		t.Errorf("Rekey without the old authority: got rejected keys %v, want that of beta", rejected)
 	}
 }
 
-func TestTheSizesThatTheNodeReckonsWithAreKept(t *testing.T) {
-	h := newFixture(t)
+// The node budgets its traffic by the Bytes methods of package gossip, so these must not be less than the encoded
+// sizes.
+func TestEncodedSizesStayWithinEstimates(t *testing.T) {
+	f := newFixture(t)
 	name := strings.Repeat("n", keys.MaxName)
-	a, b := NewBook(h.issueKeyring(name), "x", 1<<63, 8, func() time.Time { return h.now }), h.newCodec("beta", "x")
-	h.introduce(a, b)
+	a, b := NewBook(f.issueKeyring(name), "x", 1<<63, 8, func() time.Time { return f.now }), f.newCodec("beta", "x")
+	f.introduce(a, b)
 	claim := aliveClaim(a)
 	claim.Incarnation, claim.Clock, claim.Addr = 1<<31, maxClockMicroseconds*time.Microsecond/2, netip.MustParseAddrPort("[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535")
 	claim.Raw = a.encodeClaim(&claim)
@@ -281,60 +288,60 @@
 		t.Fatal(err)
 	}
 	if got := len(d) + 28; got > m.Bytes() {
-		t.Errorf("%d bytes, reckoned with %d", got, m.Bytes())
+		t.Errorf("size of the datagram with its IP and UDP headers: got %d bytes, want at most %d", got, m.Bytes())
 	}
 	items := &gossip.Items{Claims: m.Claims, Rumours: m.Rumours, Wants: make([]gossip.Mark, 50), SeenAt: claim.Addr.Addr()}
 	for i := range items.Wants {
 		items.Wants[i] = 1 << 31
 	}
 	if got := len(a.EncodeItems(items)); got > items.Bytes() {
-		t.Errorf("items of %d bytes, reckoned with %d", got, items.Bytes())
+		t.Errorf("size of the items: got %d bytes, want at most %d", got, items.Bytes())
 	}
 	digest := &gossip.Digest{Own: aliveClaim(a), Members: items.Wants, Dead: items.Wants, Rumours: items.Wants}
 	raw := a.EncodeDigest(digest)
 	if len(raw) > digest.Bytes() {
-		t.Errorf("a digest of %d bytes, reckoned with %d", len(raw), digest.Bytes())
+		t.Errorf("size of the digest: got %d bytes, want at most %d", len(raw), digest.Bytes())
 	}
 	if got, err := b.Digest(raw, b.peers[a.ownKey]); err != nil || !slices.Equal(got.Rumours, digest.Rumours) || got.Own.Name != name {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("decoded digest: got %+v, error %v, want the encoded one", got, err)
 	}
 	if _, err := b.Digest(raw, &Peer{Name: "another", Key: a.ownKey}); err == nil {
-		t.Error("an instance speaks for another")
+		t.Error("digest with the claim of another instance: got no error, want one")
 	}
 	for _, m := range []*gossip.Message{{Kind: gossip.Ping}, {Kind: gossip.Ping, Claims: m.Claims[:1]}, {Kind: gossip.Tell, Rumours: m.Rumours[:1]}} {
 		d, err := a.Datagram(b.ownKey, m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Logf("%d claims, %d rumours: %d bytes, reckoned with %d", len(m.Claims), len(m.Rumours), len(d)+28, m.Bytes())
+		t.Logf("%d claims, %d rumours: %d bytes, estimate %d", len(m.Claims), len(m.Rumours), len(d)+28, m.Bytes())
 	}
 }
 
-// A signature that was checked is not checked again, and what is remembered is bounded.
-func TestProofsArePeersAreBounded(t *testing.T) {
-	h := newFixture(t)
-	a := h.newCodec("alpha", "x")
+// The caches of peers and of signed rumours are bounded.
+func TestCachesAreBounded(t *testing.T) {
+	f := newFixture(t)
+	a := f.newCodec("alpha", "x")
 	for i := range 40 {
-		if _, err := a.verifyPeer(h.newCodec(fmt.Sprint("p", i), "x").certificate); err != nil {
+		if _, err := a.verifyPeer(f.newCodec(fmt.Sprint("p", i), "x").certificate); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(a.peers) > 16 {
-		t.Errorf("%d peers", len(a.peers))
+		t.Errorf("peers: got %d, want at most 16", len(a.peers))
 	}
 	for i := range uint32(1000) {
 		r := silentRumour(a, i)
 		a.encodeRumour(&r)
 	}
 	if len(a.signedRumours) > maxSigned || len(a.signedOrder) > maxSigned {
-		t.Errorf("%d signed", len(a.signedRumours))
+		t.Errorf("cached signed rumours: got %d, want at most maxSigned", len(a.signedRumours))
 	}
 }
 
 func FuzzOpen(f *testing.F) {
-	h := newFixture(f)
-	a, b := h.newCodec("alpha", "x"), h.newCodec("beta", "x")
-	h.introduce(a, b)
+	fix := newFixture(f)
+	a, b := fix.newCodec("alpha", "x"), fix.newCodec("beta", "x")
+	fix.introduce(a, b)
 	for _, m := range []*gossip.Message{{Kind: gossip.Ping}, {Kind: gossip.Tell, Claims: []gossip.Claim{aliveClaim(a)}, Rumours: []gossip.Told{{Rumour: silentRumour(a, 1)}}}} {
 		d, err := a.Datagram(b.ownKey, m)
 		if err != nil {
@@ -347,7 +354,7 @@
 	f.Add(a.EncodeDigest(&gossip.Digest{Own: aliveClaim(a), Members: []gossip.Mark{1}}))
 	f.Fuzz(func(t *testing.T, d []byte) {
 		b.Open(d, func(error) {})
-		// What an attacker with a good key can put into a body.
+		// The bodies that an attacker with a valid key can send.
 		b.decodeMessage(d, func(error) {})
 		b.Items(d, func(error) {})
 		b.Digest(d, b.peers[a.ownKey])
@@ -356,22 +363,22 @@
 }
 
 func BenchmarkOpen(b *testing.B) {
-	h := newFixture(b)
-	x, y := h.newCodec("alpha", "x"), h.newCodec("beta", "x")
-	h.introduce(x, y)
+	f := newFixture(b)
+	x, y := f.newCodec("alpha", "x"), f.newCodec("beta", "x")
+	f.introduce(x, y)
 	m := &gossip.Message{Kind: gossip.Tell}
 	for i := range uint32(7) {
 		m.Rumours = append(m.Rumours, gossip.Told{Rumour: silentRumour(x, i)})
 	}
-	good, err := x.Datagram(y.ownKey, m)
+	valid, err := x.Datagram(y.ownKey, m)
 	if err != nil {
 		b.Fatal(err)
 	}
-	spoilt := slices.Clone(good)
-	spoilt[50] ^= 1
-	foreign := slices.Clone(good)
+	altered := slices.Clone(valid)
+	altered[50] ^= 1
+	foreign := slices.Clone(valid)
 	foreign[5] ^= 1
-	for name, d := range map[string][]byte{"good": good, "altered": spoilt, "foreign": foreign} {
+	for name, d := range map[string][]byte{"good": valid, "altered": altered, "foreign": foreign} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
