--- a/internal/gossip/carrier/carrier.go
+++ b/internal/gossip/carrier/carrier.go
@@ -280,27 +280,27 @@
 	for _, id := range expired {
 		c.node.Expelled(c.clock.Now(), id)
 	}
-	if left := time.Until(c.certNotAfter); left < 0 {
+	if validity := time.Until(c.certNotAfter); validity < 0 {
 		slog.Error("gossip", "what", "certificate_expired", "name", c.name)
-	} else if left < 24*time.Hour {
-		slog.Warn("gossip", "what", "certificate_expires", "name", c.name, "in", left.Round(time.Minute))
+	} else if validity < 24*time.Hour {
+		slog.Warn("gossip", "what", "certificate_expires", "name", c.name, "in", validity.Round(time.Minute))
 	}
 }
 
 // Rekey replaces the keyring. The new certificate must be for the same name; the key and the authorities may differ.
-func (c *Carrier) Rekey(ring *keys.Keyring) error {
-	if ring.Certificate.Name != c.name {
-		return fmt.Errorf("certificate is for instance %q, expected %q", ring.Certificate.Name, c.name)
+func (c *Carrier) Rekey(keyring *keys.Keyring) error {
+	if keyring.Certificate.Name != c.name {
+		return fmt.Errorf("certificate is for instance %q, expected %q", keyring.Certificate.Name, c.name)
 	}
 	done := make(chan struct{})
 	if !c.enqueue(func() {
 		defer close(done)
 		c.codecMu.Lock()
-		rejected := c.codec.Rekey(ring)
+		rejected := c.codec.Rekey(keyring)
 		c.codecMu.Unlock()
-		c.certNotAfter = time.Unix(ring.Certificate.NotAfter, 0)
+		c.certNotAfter = time.Unix(keyring.Certificate.NotAfter, 0)
 		now := c.clock.Now()
-		c.node.Rekey(now, ring.Certificate.Key())
+		c.node.Rekey(now, keyring.Certificate.Key())
 		for _, id := range rejected {
 			c.node.Expelled(now, id)
 		}
@@ -343,7 +343,7 @@
 // reportRumour passes a weight to the gateway and updates rumouredServers.
 func (c *Carrier) reportRumour(id uint32, weight float64) {
 	old := *c.rumouredServers.Load()
-	if _, had := old[id]; had != (weight > 0) {
+	if _, rumoured := old[id]; rumoured != (weight > 0) {
 		next := make(map[uint32]struct{}, len(old)+1)
 		for s := range old {
 			next[s] = struct{}{}
@@ -361,6 +361,8 @@
 // Log writes an event to the log, unless the limit of lines per minute is reached.
 func (c *Carrier) Log(event, name string) { c.log(slog.LevelInfo, event, name) }
 
+// log writes a line, or suppresses it beyond the limit per minute. The number of suppressed lines is logged when the
+// next window begins.
 func (c *Carrier) log(level slog.Level, event, name string) {
 	c.mu.Lock()
 	now := c.clock.Now()
@@ -390,8 +392,8 @@
 	c.signalEvidence()
 }
 
-// Acked records an acked send to a server. It matters only for servers with rumours by others and is
-// ignored for all others.
+// Acked records an acked send to a server. It is ignored unless others have rumours about the server,
+// as only then it matters.
 func (c *Carrier) Acked(server uint32, sentAt time.Duration) {
 	if _, ok := (*c.rumouredServers.Load())[server]; !ok {
 		return
@@ -511,17 +513,17 @@
 func (c *Carrier) RunNumber() uint64 { return c.runID }
 
 // Attrs returns the counters for a log line: the number of members by state, the node's counters, and the carrier's
-// own. It returns nil if the event queue is full.
+// own. It returns nil if the event queue is full or the carrier stops before answering.
 func (c *Carrier) Attrs() (all []slog.Attr) {
 	select {
 	case <-c.stopped:
 		return c.attrs() // no other goroutine uses the node any more
 	default:
 	}
-	got := make(chan []slog.Attr, 1)
-	if c.enqueue(func() { got <- c.attrs() }) {
+	result := make(chan []slog.Attr, 1)
+	if c.enqueue(func() { result <- c.attrs() }) {
 		select {
-		case all = <-got:
+		case all = <-result:
 		case <-c.stopped:
 		}
 	}
--- a/internal/gossip/carrier/stream.go
+++ b/internal/gossip/carrier/stream.go
@@ -47,22 +47,22 @@
 }
 
 // readHello reads the peer's hello. It returns its nonce, its certificate and all of its bytes.
-func readHello(r io.Reader, cluster uint32) (nonce, cert, all []byte, err error) {
-	all = make([]byte, 8+nonceSize+1)
-	if _, err = io.ReadFull(r, all); err != nil {
+func readHello(r io.Reader, cluster uint32) (nonce, cert, hello []byte, err error) {
+	hello = make([]byte, 8+nonceSize+1)
+	if _, err = io.ReadFull(r, hello); err != nil {
 		return nil, nil, nil, err
 	}
-	if string(all[:4]) != helloPrefix {
+	if string(hello[:4]) != helloPrefix {
 		return nil, nil, nil, wire.ErrForm
 	}
-	if binary.BigEndian.Uint32(all[4:]) != cluster {
+	if binary.BigEndian.Uint32(hello[4:]) != cluster {
 		return nil, nil, nil, wire.ErrCluster
 	}
-	cert = make([]byte, all[len(all)-1])
+	cert = make([]byte, hello[len(hello)-1])
 	if _, err = io.ReadFull(r, cert); err != nil {
 		return nil, nil, nil, err
 	}
-	return all[8 : 8+nonceSize], cert, append(all, cert...), nil
+	return hello[8 : 8+nonceSize], cert, append(hello, cert...), nil
 }
 
 // handshake authenticates both ends to each other. The opener sends its hello first.
@@ -103,7 +103,7 @@
 		if _, err := conn.Write(ownHello); err != nil {
 			return nil, err
 		}
-		return s, s.writeFrame(hellos) // the valid tag proves that this side holds its key
+		return s, s.writeFrame(hellos) // both hellos with a valid tag: proof that this side holds its key
 	}
 	got, err := s.readFrame()
 	if err == nil && string(got) != string(hellos) {
@@ -222,14 +222,14 @@
 	if err != nil || len(raw) == 0 {
 		return err
 	}
-	given, err := c.decodeItems(raw)
+	items, err := c.decodeItems(raw)
 	if err == nil {
-		c.enqueue(func() { c.node.Given(c.clock.Now(), given) })
+		c.enqueue(func() { c.node.Given(c.clock.Now(), items) })
 	}
 	return err
 }
 
-var errBusy = errors.New("gossip node is stopped or did not answer in time")
+var errNodeUnavailable = errors.New("gossip node is stopped or did not answer in time")
 
 // callNode runs a function on the goroutine that owns the node and returns its result. It fails if the queue is full,
 // the node has stopped, or there is no result within streamTimeout.
@@ -237,15 +237,15 @@
 	result := make(chan T, 1)
 	var zero T
 	if !c.enqueue(func() { result <- f() }) {
-		return zero, errBusy
+		return zero, errNodeUnavailable
 	}
 	select {
 	case v := <-result:
 		return v, nil
 	case <-c.stopped:
-		return zero, errBusy
+		return zero, errNodeUnavailable
 	case <-time.After(streamTimeout):
-		return zero, errBusy
+		return zero, errNodeUnavailable
 	}
 }
 
@@ -307,12 +307,12 @@
 	if err != nil {
 		return err
 	}
-	give, err := callNode(c, func() *gossip.Items { return c.node.Exchanged(c.clock.Now(), items) })
+	reply, err := callNode(c, func() *gossip.Items { return c.node.Exchanged(c.clock.Now(), items) })
 	if err != nil {
 		return err
 	}
-	if give == nil {
+	if reply == nil {
 		return s.writeFrame(nil)
 	}
-	return s.writeFrame(c.encodeItems(give))
+	return s.writeFrame(c.encodeItems(reply))
 }
--- a/internal/gossip/keys/keys.go
+++ b/internal/gossip/keys/keys.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// ID returns the ID of a public key: the first bytes of its SHA-256.
+// ID returns the ID of a public key: the first 8 bytes of its SHA-256.
 func ID(public ed25519.PublicKey) (id gossip.KeyID) {
 	sum := sha256.Sum256(public)
 	copy(id[:], sum[:])
@@ -264,7 +264,8 @@
 	return writePEM(path, pemCertificate, c.Encode(), c.Name, 0o644)
 }
 
-// writePEM replaces a file whole; a private key that stands there already is never written over.
+// writePEM writes a PEM file under a temporary name and renames it, so that an existing file is replaced atomically.
+// An existing private key, recognised by mode 0o600, is never overwritten.
 func writePEM(path, kind string, b []byte, name string, mode os.FileMode) error {
 	block := &pem.Block{Type: kind, Bytes: b}
 	if name != "" {
@@ -330,32 +331,32 @@
 // LoadKeyring reads an instance's keyring from the files of its certificate, its private key and the accepted
 // authorities.
 func Load(certificate, key string, authorities []string, now time.Time) (*Keyring, error) {
-	c, err := Read(certificate)
-	if err == nil && c.Certificate == nil {
+	certFile, err := Read(certificate)
+	if err == nil && certFile.Certificate == nil {
 		err = fmt.Errorf("%s: %w: expected a certificate", certificate, ErrForm)
 	}
 	if err != nil {
 		return nil, err
 	}
-	p, err := Read(key)
-	if err == nil && p.Private == nil {
+	keyFile, err := Read(key)
+	if err == nil && keyFile.Private == nil {
 		err = fmt.Errorf("%s: %w: expected an instance's private key", key, ErrForm)
 	}
 	if err != nil {
 		return nil, err
 	}
-	var all []*Authority
+	var accepted []*Authority
 	for _, path := range authorities {
-		a, err := Read(path)
-		if err == nil && a.Authority == nil {
+		file, err := Read(path)
+		if err == nil && file.Authority == nil {
 			err = fmt.Errorf("%s: %w: expected an authority", path, ErrForm)
 		}
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, &Authority{Name: a.Authority.Name, Public: a.Authority.Public})
+		accepted = append(accepted, &Authority{Name: file.Authority.Name, Public: file.Authority.Public})
 	}
-	k, err := NewKeyring(c.Certificate, p.Private, all, now)
+	k, err := NewKeyring(certFile.Certificate, keyFile.Private, accepted, now)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", certificate, err)
 	}
--- a/internal/gossip/wire/wire.go
+++ b/internal/gossip/wire/wire.go
@@ -600,7 +600,7 @@
 }
 
 // NewStreamMAC returns the StreamMAC of a stream with a peer. Its key is derived from the shared secret and the
-// nonces of the opening and the accepting side. Opened tells whether this side opened the stream.
+// nonces of the opening and the accepting side. The argument opened tells whether this side opened the stream.
 func (cd *Book) Session(p *Peer, openerNonce, acceptorNonce []byte, opened bool) *Session {
 	m := hmac.New(sha256.New, p.Shared)
 	m.Write([]byte("gorsewell stream 1\x00"))
