--- a/internal/gossip/wire/wire.go
+++ b/internal/gossip/wire/wire.go
@@ -329,7 +329,7 @@
 	return true
 }
 
-// verifyClaim proves one verifyClaim.
+// verifyClaim decodes and verifies a claim.
 func (cd *Book) verifyClaim(raw []byte) (c gossip.Claim, err error) {
 	var item claimItem
 	var body claimBody
@@ -361,7 +361,7 @@
 // maxClockMicroseconds is the maximum uptime that an instance may claim: 100 years.
 const maxClockMicroseconds = 100 * 365 * 24 * 3600 * 1e6
 
-// verifyRumour proves one verifyRumour.
+// verifyRumour decodes and verifies a rumour.
 func (cd *Book) verifyRumour(t *agedRumour) (told gossip.Told, err error) {
 	var item rumourItem
 	var body rumourBody
