--- a/internal/gossip/carrier/stream.go
+++ b/internal/gossip/carrier/stream.go
@@ -15,163 +15,167 @@
 	"gorsewell/internal/gossip/wire"
 )
 
-// A stream compares two tables. Who opens it says hello with a fresh number and its certificate; the other answers with its
-// own, and a tag under the secret of both over all that was said; from there on each frame bears a tag over its number and
-// its bytes under a key made from that secret and both fresh numbers. So neither an old stream nor another's can be replayed.
+// Streams synchronise the tables of two instances. The opener sends a hello with a nonce and its certificate. The
+// other side answers with its own hello and a frame that repeats both. Each frame has a tag over its number and its
+// content, under a key derived from the shared secret and both nonces, so that neither an earlier stream nor one of
+// other instances can be replayed.
 const (
-	streamTime  = 3 * time.Second
-	dialTime    = time.Second
-	mostFrame   = 96 << 10
-	nonceSize   = 16
-	helloPrefix = "gw\x01s"
+	streamTimeout = 3 * time.Second // for a whole stream, and for the node to answer
+	dialTimeout   = time.Second
+	maxFrameSize  = 96 << 10 // bytes
+	nonceSize     = 16       // bytes
+	helloPrefix   = "gw\x01s"
 )
 
-var errFrame = errors.New("a frame that does not fit")
+var errFrameTooLarge = errors.New("frame is larger than 96 KiB")
 
-// link is a proved stream.
-type link struct {
+// stream is a connection whose two ends have authenticated each other.
+type stream struct {
 	net.Conn
-	in      *bufio.Reader
-	session *wire.Session
-	peer    *wire.Peer
+	reader *bufio.Reader
+	mac    *wire.Session
+	peer   *wire.Peer
 }
 
-func hello(cluster uint32, nonce, cert []byte) []byte {
+// encodeHello returns the first message of either side: the prefix, the cluster, the nonce and the certificate with
+// its length.
+func encodeHello(cluster uint32, nonce, cert []byte) []byte {
 	b := append([]byte(helloPrefix), 0, 0, 0, 0)
 	binary.BigEndian.PutUint32(b[4:], cluster)
 	b = append(b, nonce...)
 	return append(append(b, byte(len(cert))), cert...)
 }
 
-// readHello reads the other's first words.
-func readHello(r io.Reader, cluster uint32) (nonce, cert, all []byte, err error) {
-	all = make([]byte, 8+nonceSize+1)
-	if _, err = io.ReadFull(r, all); err != nil {
+// readHello reads the peer's hello. It returns its nonce, its certificate and all of its bytes.
+func readHello(r io.Reader, cluster uint32) (nonce, cert, hello []byte, err error) {
+	hello = make([]byte, 8+nonceSize+1)
+	if _, err = io.ReadFull(r, hello); err != nil {
 		return nil, nil, nil, err
 	}
-	if string(all[:4]) != helloPrefix {
+	if string(hello[:4]) != helloPrefix {
 		return nil, nil, nil, wire.ErrForm
 	}
-	if binary.BigEndian.Uint32(all[4:]) != cluster {
+	if binary.BigEndian.Uint32(hello[4:]) != cluster {
 		return nil, nil, nil, wire.ErrCluster
 	}
-	cert = make([]byte, all[len(all)-1])
+	cert = make([]byte, hello[len(hello)-1])
 	if _, err = io.ReadFull(r, cert); err != nil {
 		return nil, nil, nil, err
 	}
-	return all[8 : 8+nonceSize], cert, append(all, cert...), nil
+	return hello[8 : 8+nonceSize], cert, append(hello, cert...), nil
 }
 
-// greet proves both ends to each other.
-func (c *Carrier) greet(conn net.Conn, first bool) (*link, error) {
-	conn.SetDeadline(time.Now().Add(streamTime))
+// handshake authenticates both ends to each other. The opener sends its hello first.
+func (c *Carrier) handshake(conn net.Conn, opener bool) (*stream, error) {
+	conn.SetDeadline(time.Now().Add(streamTimeout))
 	nonce := make([]byte, nonceSize)
 	rand.Read(nonce)
-	in := bufio.NewReaderSize(conn, 4<<10)
-	c.bookMu.Lock()
-	cluster, cert := c.book.Cluster(), c.book.Certificate()
-	c.bookMu.Unlock()
-	mine := hello(cluster, nonce, cert)
-	if first {
-		if _, err := conn.Write(mine); err != nil {
+	reader := bufio.NewReaderSize(conn, 4<<10)
+	c.codecMu.Lock()
+	cluster, cert := c.codec.Cluster(), c.codec.Certificate()
+	c.codecMu.Unlock()
+	ownHello := encodeHello(cluster, nonce, cert)
+	if opener {
+		if _, err := conn.Write(ownHello); err != nil {
 			return nil, err
 		}
 	}
-	theirNonce, theirCert, theirs, err := readHello(in, cluster)
+	peerNonce, peerCert, peerHello, err := readHello(reader, cluster)
 	if err != nil {
 		return nil, err
 	}
-	c.bookMu.Lock()
-	peer, err := c.book.Meet(theirCert)
-	var s *wire.Session
-	if err == nil && first {
-		s = c.book.Session(peer, nonce, theirNonce, true)
+	c.codecMu.Lock()
+	peer, err := c.codec.Meet(peerCert)
+	var mac *wire.Session
+	if err == nil && opener {
+		mac = c.codec.Session(peer, nonce, peerNonce, true)
 	} else if err == nil {
-		s = c.book.Session(peer, theirNonce, nonce, false)
+		mac = c.codec.Session(peer, peerNonce, nonce, false)
 	}
-	c.bookMu.Unlock()
+	c.codecMu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	l := &link{conn, in, s, peer}
-	said := append(append([]byte(nil), mine...), theirs...)
-	if !first {
-		said = append(append([]byte(nil), theirs...), mine...)
-		if _, err := conn.Write(mine); err != nil {
+	s := &stream{conn, reader, mac, peer}
+	hellos := append(append([]byte(nil), ownHello...), peerHello...)
+	if !opener {
+		hellos = append(append([]byte(nil), peerHello...), ownHello...)
+		if _, err := conn.Write(ownHello); err != nil {
 			return nil, err
 		}
-		return l, l.write(said) // the hello of both, tagged: who answers holds its key
+		return s, s.writeFrame(hellos) // both hellos with a valid tag: proof that this side holds its key
 	}
-	got, err := l.read()
-	if err == nil && string(got) != string(said) {
+	got, err := s.readFrame()
+	if err == nil && string(got) != string(hellos) {
 		err = wire.ErrTag
 	}
-	return l, err
+	return s, err
 }
 
-// write sends one frame: its length, its bytes, its tag.
-func (l *link) write(b []byte) error {
+// writeFrame sends a frame: length, content and tag.
+func (s *stream) writeFrame(b []byte) error {
 	frame := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(b)+wire.TagSize), uint32(len(b)))
 	frame = append(frame, b...)
-	frame = append(frame, l.session.Seal(b)...)
-	_, err := l.Write(frame)
+	frame = append(frame, s.mac.Seal(b)...)
+	_, err := s.Write(frame)
 	return err
 }
 
-// read takes one frame.
-func (l *link) read() ([]byte, error) {
-	var head [4]byte
-	if _, err := io.ReadFull(l.in, head[:]); err != nil {
+// readFrame reads a frame and verifies its tag.
+func (s *stream) readFrame() ([]byte, error) {
+	var length [4]byte
+	if _, err := io.ReadFull(s.reader, length[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > mostFrame {
-		return nil, errFrame
+	n := binary.BigEndian.Uint32(length[:])
+	if n > maxFrameSize {
+		return nil, errFrameTooLarge
 	}
 	b := make([]byte, n+wire.TagSize)
-	if _, err := io.ReadFull(l.in, b); err != nil {
+	if _, err := io.ReadFull(s.reader, b); err != nil {
 		return nil, err
 	}
-	if !l.session.Fits(b[:n], b[n:]) {
+	if !s.mac.Fits(b[:n], b[n:]) {
 		return nil, wire.ErrTag
 	}
 	return b[:n], nil
 }
 
-// accept takes streams. Beyond the most that may be open they are closed at once.
-func (c *Carrier) accept(ctx context.Context) error {
+// acceptStreams accepts and serves streams. Connections beyond the limit of open streams are closed at once.
+func (c *Carrier) acceptStreams(ctx context.Context) error {
 	for {
 		conn, err := c.tcp.AcceptTCP()
 		if err != nil {
 			if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			select { // out of descriptors
+			select { // for example out of file descriptors
 			case <-ctx.Done():
 				return nil
-			case <-time.After(emptyPause):
+			case <-time.After(retryDelay):
 			}
 			continue
 		}
 		select {
-		case c.inbound <- struct{}{}:
+		case c.inboundSlots <- struct{}{}:
 		default:
 			c.counts.StreamsFailed.Add(1)
 			conn.Close()
 			continue
 		}
 		c.tasks.Go(func() error {
-			defer func() { <-c.inbound }()
+			defer func() { <-c.inboundSlots }()
 			stop := context.AfterFunc(ctx, func() { conn.Close() })
 			defer stop()
 			defer conn.Close()
-			c.streamed(c.answer(conn))
+			c.countStream(c.serveStream(conn))
 			return nil
 		})
 	}
 }
 
-func (c *Carrier) streamed(err error) {
+// countStream counts a finished stream, and its cause if it failed verification.
+func (c *Carrier) countStream(err error) {
 	c.counts.Streams.Add(1)
 	if err == nil {
 		return
@@ -179,134 +183,136 @@
 	c.counts.StreamsFailed.Add(1)
 	for _, cause := range []error{wire.ErrForm, wire.ErrCluster, wire.ErrStranger, wire.ErrTag, wire.ErrSignature, wire.ErrExpired, wire.ErrAuthority} {
 		if errors.Is(err, cause) {
-			c.dropped(err)
+			c.countDropped(err)
 		}
 	}
 }
 
-// answer serves one stream that another has opened.
-func (c *Carrier) answer(conn *net.TCPConn) error {
-	l, err := c.greet(conn, false)
+// serveStream answers a stream that a peer has opened.
+func (c *Carrier) serveStream(conn *net.TCPConn) error {
+	s, err := c.handshake(conn, false)
 	if err != nil {
 		return err
 	}
-	raw, err := l.read()
+	raw, err := s.readFrame()
 	if err != nil {
 		return err
 	}
-	c.bookMu.Lock()
-	d, err := c.book.Digest(raw, l.peer)
-	c.bookMu.Unlock()
+	c.codecMu.Lock()
+	d, err := c.codec.Digest(raw, s.peer)
+	c.codecMu.Unlock()
 	if err != nil {
 		return err
 	}
-	seen := conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
-	reply, err := ask(c, func() *gossip.Items {
-		// Where it does not know its own address yet, the one that it came from will do until it does.
+	remote := conn.RemoteAddr().(*net.TCPAddr).AddrPort().Addr().Unmap()
+	reply, err := callNode(c, func() *gossip.Items {
+		// A peer that does not know its own address yet is reachable at the one it connects from.
 		if a := d.Own.Addr; a.Addr().IsUnspecified() {
-			d.Own.Addr = netip.AddrPortFrom(seen, a.Port())
+			d.Own.Addr = netip.AddrPortFrom(remote, a.Port())
 		}
-		return c.node.Asked(c.clock.Now(), d, seen)
+		return c.node.Asked(c.clock.Now(), d, remote)
 	})
 	if err != nil {
 		return err
 	}
-	if err := l.write(c.encode(reply)); err != nil {
+	if err := s.writeFrame(c.encodeItems(reply)); err != nil {
 		return err
 	}
-	raw, err = l.read()
+	raw, err = s.readFrame()
 	if err != nil || len(raw) == 0 {
 		return err
 	}
-	given, err := c.decode(raw)
+	items, err := c.decodeItems(raw)
 	if err == nil {
-		c.do(func() { c.node.Given(c.clock.Now(), given) })
+		c.enqueue(func() { c.node.Given(c.clock.Now(), items) })
 	}
 	return err
 }
 
-var errBusy = errors.New("too busy")
+var errNodeUnavailable = errors.New("gossip node is stopped or did not answer in time")
 
-// ask has the owner of the node answer something.
-func ask[T any](c *Carrier, f func() T) (T, error) {
-	got := make(chan T, 1)
-	var none T
-	if !c.do(func() { got <- f() }) {
-		return none, errBusy
+// callNode runs a function on the goroutine that owns the node and returns its result. It fails if the queue is full,
+// the node has stopped, or there is no result within streamTimeout.
+func callNode[T any](c *Carrier, f func() T) (T, error) {
+	result := make(chan T, 1)
+	var zero T
+	if !c.enqueue(func() { result <- f() }) {
+		return zero, errNodeUnavailable
 	}
 	select {
-	case v := <-got:
+	case v := <-result:
 		return v, nil
-	case <-c.ended:
-		return none, errBusy
-	case <-time.After(streamTime):
-		return none, errBusy
+	case <-c.stopped:
+		return zero, errNodeUnavailable
+	case <-time.After(streamTimeout):
+		return zero, errNodeUnavailable
 	}
 }
 
-func (c *Carrier) encode(i *gossip.Items) []byte {
-	c.bookMu.Lock()
-	defer c.bookMu.Unlock()
-	return c.book.EncodeItems(i)
+func (c *Carrier) encodeItems(i *gossip.Items) []byte {
+	c.codecMu.Lock()
+	defer c.codecMu.Unlock()
+	return c.codec.EncodeItems(i)
 }
 
-func (c *Carrier) decode(raw []byte) (*gossip.Items, error) {
-	c.bookMu.Lock()
-	defer c.bookMu.Unlock()
-	return c.book.Items(raw, c.dropped)
+func (c *Carrier) decodeItems(raw []byte) (*gossip.Items, error) {
+	c.codecMu.Lock()
+	defer c.codecMu.Unlock()
+	return c.codec.Items(raw, c.countDropped)
 }
 
-// Exchange opens a stream to another. With too many open it has failed.
+// Exchange opens a stream to an instance and synchronises with it. It reports failure at once if too many streams are
+// open.
 func (c *Carrier) Exchange(with netip.AddrPort, d *gossip.Digest) {
-	c.bookMu.Lock()
-	raw := c.book.EncodeDigest(d)
-	c.bookMu.Unlock()
+	c.codecMu.Lock()
+	raw := c.codec.EncodeDigest(d)
+	c.codecMu.Unlock()
 	select {
-	case c.outbound <- struct{}{}:
+	case c.outboundSlots <- struct{}{}:
 	default:
-		c.do(func() { c.node.ExchangeFailed(c.clock.Now(), with) })
+		c.enqueue(func() { c.node.ExchangeFailed(c.clock.Now(), with) })
 		return
 	}
 	c.tasks.Go(func() error {
-		defer func() { <-c.outbound }()
-		err := c.compare(with, raw)
-		c.streamed(err)
+		defer func() { <-c.outboundSlots }()
+		err := c.syncWith(with, raw)
+		c.countStream(err)
 		if err != nil {
-			c.do(func() { c.node.ExchangeFailed(c.clock.Now(), with) })
+			c.enqueue(func() { c.node.ExchangeFailed(c.clock.Now(), with) })
 		}
 		return nil
 	})
 }
 
-// compare is the side that asks.
-func (c *Carrier) compare(with netip.AddrPort, digest []byte) error {
-	dialer := net.Dialer{Timeout: dialTime, KeepAlive: -1}
+// syncWith opens a stream and runs the opener's side of the exchange.
+func (c *Carrier) syncWith(with netip.AddrPort, digest []byte) error {
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	conn, err := dialer.Dial("tcp", with.String())
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	l, err := c.greet(conn, true)
+	s, err := c.handshake(conn, true)
 	if err != nil {
 		return err
 	}
-	if err := l.write(digest); err != nil {
+	if err := s.writeFrame(digest); err != nil {
 		return err
 	}
-	raw, err := l.read()
+	raw, err := s.readFrame()
 	if err != nil {
 		return err
 	}
-	items, err := c.decode(raw)
+	items, err := c.decodeItems(raw)
 	if err != nil {
 		return err
 	}
-	give, err := ask(c, func() *gossip.Items { return c.node.Exchanged(c.clock.Now(), items) })
+	reply, err := callNode(c, func() *gossip.Items { return c.node.Exchanged(c.clock.Now(), items) })
 	if err != nil {
 		return err
 	}
-	if give == nil {
-		return l.write(nil)
+	if reply == nil {
+		return s.writeFrame(nil)
 	}
-	return l.write(c.encode(give))
+	return s.writeFrame(c.encodeItems(reply))
 }
--- a/internal/gossip/wire/wire.go
+++ b/internal/gossip/wire/wire.go
@@ -1,10 +1,15 @@
-// Package wire encodes what instances say to one another, signs it, and proves what comes in before anything else looks at
-// it. The bodies are CBOR (RFC 8949) in its one deterministic form; what goes around them has a fixed layout, so that most of
-// what is not meant for an instance is turned away by comparing a few bytes.
+// Package wire implements the signed binary codec of gossip messages. It encodes and signs outgoing messages, and
+// verifies incoming ones before any other code reads them. Bodies are CBOR (RFC 8949) in its deterministic encoding.
+// The header has a fixed layout, so that most messages for other receivers are rejected by comparing a few bytes.
 //
-// A datagram is: "gw", version, flags, cluster (4), sender's key (8), run (8), counter (8), tag (16), body, signature (64). The
-// tag is an HMAC-SHA256, cut to 16 bytes, under the secret of the two instances; the signature is Ed25519 over all the rest but
-// the tag. Flag 1 says that the body's first claim is the sender's own, with its certificate, for one who may not know it.
+// A datagram consists of these fields, with the size in bytes in parentheses:
+//
+//	magic "gw" (2), version (1), flags (1), hash of the cluster's name (4), ID of the sender's key (8), run ID (8),
+//	counter (8), tag (16), body, signature (64)
+//
+// The tag is an HMAC-SHA256, truncated to 16 bytes, under the shared secret of sender and receiver. The signature is
+// Ed25519 over everything but the tag. Flag 1 says that the body's first claim is the sender's own and carries its
+// certificate, for a receiver that may not know the sender yet.
 package wire
 
 import (
@@ -23,157 +28,160 @@
 )
 
 const (
-	version    = 1
-	headerSize = 2 + 1 + 1 + 4 + 8 + 8 + 8 + tagSize
-	tagSize    = 16
-	tagAt      = headerSize - tagSize
-	withCert   = 1
+	protocolVersion = 1
+	headerSize      = 2 + 1 + 1 + 4 + 8 + 8 + 8 + tagSize
+	tagSize         = 16
+	tagOffset       = headerSize - tagSize
+	flagCertificate = 1 // the first claim carries the sender's certificate
 
 	datagramDomain = "gorsewell datagram 1\x00"
 	claimDomain    = "gorsewell claim 1\x00"
 	rumourDomain   = "gorsewell rumour 1\x00"
 )
 
-// Bounds on what one message holds, beside its size.
+// Limits on the content of one message, in addition to its size in bytes.
 const (
-	maxItems = 64
-	maxMarks = 4096
+	maxItems = 64   // claims and rumours of a datagram; a stream message may hold 8 times as many
+	maxMarks = 4096 // marks of a stream message, on average over its three lists
 )
 
-// Why something is dropped. Each cause is counted by itself.
+// Reasons for dropping a message or one of its items. Each is counted separately.
 var (
-	ErrForm      = errors.New("not in this form")
-	ErrVersion   = errors.New("another version")
-	ErrCluster   = errors.New("of another cluster")
-	ErrStranger  = errors.New("by a key that is not known")
-	ErrTag       = errors.New("not meant for this instance, or altered")
-	ErrSignature = errors.New("the signature does not fit")
+	ErrForm      = errors.New("malformed message")
+	ErrVersion   = errors.New("unsupported protocol version")
+	ErrCluster   = errors.New("message of another cluster")
+	ErrStranger  = errors.New("unknown sender key")
+	ErrTag       = errors.New("tag does not match: message altered or for another receiver")
+	ErrSignature = errors.New("invalid signature")
 	ErrExpired   = keys.ErrExpired
 	ErrAuthority = keys.ErrUnknown
 )
 
-var be = binary.BigEndian
+var byteOrder = binary.BigEndian
 
-// Peer is an instance whose certificate has been proved.
+// Peer is an instance whose certificate has been verified.
 type Peer struct {
-	Name   string
-	Key    gossip.KeyID
-	Public ed25519.PublicKey
-	Cert   []byte
-	Until  int64 // Unix seconds
-	Shared []byte
-	used   uint64
+	Name    string
+	Key     gossip.KeyID
+	Public  ed25519.PublicKey
+	Cert    []byte // the encoded certificate
+	Until   int64  // end of the certificate's validity, in Unix seconds
+	Shared  []byte // secret shared with this instance
+	lastUse uint64 // value of the codec's useCount at the last use
 }
 
-// Book proves and remembers. It belongs to one goroutine at a time.
+// Codec signs and encodes outgoing messages, and verifies and decodes incoming ones. It caches verified certificates
+// and signatures. It is not safe for concurrent use.
 type Book struct {
-	ring    *keys.Keyring
-	cluster string
-	tag     uint32 // of the cluster
-	run     uint64
-	clock   func() time.Time // for certificates' ends alone
-	own     gossip.KeyID
-	cert    []byte
-	counter uint64
-
-	peers    map[gossip.KeyID]*Peer
-	mostPeer int
-	uses     uint64
-	proved   map[[16]byte]struct{} // items whose signature has been found to fit
-	provedBy [][16]byte            // the same, oldest first
-	signed   map[uint32][]byte     // rumours of our own, by number
-	signedBy []uint32
-}
-
+	keyring     *keys.Keyring
+	cluster     string
+	clusterHash uint32           // identifies the cluster in headers
+	runID       uint64           // drawn at each start of the instance
+	clock       func() time.Time // used only for the expiry of certificates
+	ownKey      gossip.KeyID
+	certificate []byte // the instance's own, encoded
+	counter     uint64 // datagrams sent
+
+	peers         map[gossip.KeyID]*Peer
+	maxPeers      int
+	useCount      uint64                // lookups of peers, the clock of Peer.lastUse
+	verified      map[[16]byte]struct{} // hashes of items with a valid signature
+	verifiedOrder [][16]byte            // keys of verified, oldest first
+	signedRumours map[uint32][]byte     // the instance's own rumours, encoded, by number
+	signedOrder   []uint32              // keys of signedRumours, oldest first
+}
+
+// Limits of a codec's caches.
 const (
-	mostProved = 8192
-	mostSigned = 256
+	maxVerified = 8192 // hashes of items with a valid signature
+	maxSigned   = 256  // encoded rumours of the instance's own
 )
 
-// NewBook makes one that keeps at most so many peers.
-func NewBook(ring *keys.Keyring, cluster string, run uint64, peers int, clock func() time.Time) *Book {
-	b := &Book{cluster: cluster, run: run, clock: clock, mostPeer: 2 * peers, proved: map[[16]byte]struct{}{}}
-	b.tag = uint32(xxhash.Sum64String("gorsewell cluster\x00" + cluster))
-	b.Rekey(ring)
-	return b
-}
-
-// Rekey goes on with another keyring. What was proved by the one before is proved again when it comes next. It gives the
-// keys that no longer count.
-func (b *Book) Rekey(ring *keys.Keyring) (ended []gossip.KeyID) {
-	old := b.peers
-	b.ring, b.own, b.cert = ring, ring.Certificate.Key(), ring.Certificate.Encode()
-	b.peers, b.proved, b.provedBy = map[gossip.KeyID]*Peer{}, map[[16]byte]struct{}{}, nil
-	b.signed, b.signedBy = map[uint32][]byte{}, nil
+// NewCodec returns a codec for a cluster of up to the given number of peers. It keeps the certificates of twice as
+// many.
+func NewBook(keyring *keys.Keyring, cluster string, runID uint64, peers int, clock func() time.Time) *Book {
+	cd := &Book{cluster: cluster, runID: runID, clock: clock, maxPeers: 2 * peers, verified: map[[16]byte]struct{}{}}
+	cd.clusterHash = uint32(xxhash.Sum64String("gorsewell cluster\x00" + cluster))
+	cd.Rekey(keyring)
+	return cd
+}
+
+// Rekey replaces the keyring. Signatures verified with the previous one are verified again on their next receipt. It
+// returns the keys of peers whose certificates the new keyring rejects.
+func (cd *Book) Rekey(keyring *keys.Keyring) (rejected []gossip.KeyID) {
+	old := cd.peers
+	cd.keyring, cd.ownKey, cd.certificate = keyring, keyring.Certificate.Key(), keyring.Certificate.Encode()
+	cd.peers, cd.verified, cd.verifiedOrder = map[gossip.KeyID]*Peer{}, map[[16]byte]struct{}{}, nil
+	cd.signedRumours, cd.signedOrder = map[uint32][]byte{}, nil
 	for id, p := range old {
-		if _, err := b.meet(p.Cert); err != nil {
-			ended = append(ended, id)
+		if _, err := cd.verifyPeer(p.Cert); err != nil {
+			rejected = append(rejected, id)
 		}
 	}
-	return ended
+	return rejected
 }
 
-// Own is the instance's own key.
-func (b *Book) Own() gossip.KeyID { return b.own }
+// OwnKey returns the ID of the instance's own key.
+func (cd *Book) Own() gossip.KeyID { return cd.ownKey }
 
-// Expired gives the keys whose certificates have ended, and forgets them.
-func (b *Book) Expired() (ended []gossip.KeyID) {
-	now := b.clock().Unix()
-	for id, p := range b.peers {
+// RemoveExpired removes the peers whose certificates have expired and returns their keys.
+func (cd *Book) Expired() (expired []gossip.KeyID) {
+	now := cd.clock().Unix()
+	for id, p := range cd.peers {
 		if now > p.Until {
-			ended = append(ended, id)
-			delete(b.peers, id)
+			expired = append(expired, id)
+			delete(cd.peers, id)
 		}
 	}
-	return ended
+	return expired
 }
 
-// meet proves a certificate and keeps it.
-func (b *Book) meet(cert []byte) (*Peer, error) {
+// verifyPeer verifies a certificate and caches the peer.
+func (cd *Book) verifyPeer(cert []byte) (*Peer, error) {
 	c, err := keys.ParseCertificate(cert)
 	if err != nil {
 		return nil, ErrForm
 	}
 	id := c.Key()
-	if p := b.peers[id]; p != nil && string(p.Cert) == string(cert) {
+	if p := cd.peers[id]; p != nil && string(p.Cert) == string(cert) {
 		return p, nil
 	}
-	if err := b.ring.Verify(c, b.clock()); err != nil {
+	if err := cd.keyring.Verify(c, cd.clock()); err != nil {
 		return nil, err
 	}
-	shared, err := b.ring.Shared(c, b.cluster)
+	shared, err := cd.keyring.Shared(c, cd.cluster)
 	if err != nil {
 		return nil, ErrForm
 	}
-	if len(b.peers) >= b.mostPeer { // the one that was needed longest ago gives way
+	if len(cd.peers) >= cd.maxPeers { // evict the least recently used; the key breaks ties
 		var oldest *Peer
-		for _, p := range b.peers {
-			if oldest == nil || p.used < oldest.used || p.used == oldest.used && string(p.Key[:]) < string(oldest.Key[:]) {
+		for _, p := range cd.peers {
+			if oldest == nil || p.lastUse < oldest.lastUse || p.lastUse == oldest.lastUse && string(p.Key[:]) < string(oldest.Key[:]) {
 				oldest = p
 			}
 		}
-		delete(b.peers, oldest.Key)
+		delete(cd.peers, oldest.Key)
 	}
 	p := &Peer{Name: c.Name, Key: id, Public: c.Public, Cert: cert, Until: c.NotAfter, Shared: shared}
-	b.peers[id] = p
+	cd.peers[id] = p
 	return p, nil
 }
 
-// peer is one that is known and whose certificate has not ended.
-func (b *Book) peer(id gossip.KeyID) (*Peer, error) {
-	p := b.peers[id]
+// validPeer returns a known peer whose certificate has not expired.
+func (cd *Book) validPeer(id gossip.KeyID) (*Peer, error) {
+	p := cd.peers[id]
 	if p == nil {
 		return nil, ErrStranger
 	}
-	if b.clock().Unix() > p.Until {
+	if cd.clock().Unix() > p.Until {
 		return nil, ErrExpired
 	}
-	b.uses++
-	p.used = b.uses
+	cd.useCount++
+	p.lastUse = cd.useCount
 	return p, nil
 }
 
-// The bodies, as they are encoded.
+// The CBOR encoded bodies. The order and types of the fields are the wire format.
 type (
 	claimBody struct {
 		_           struct{} `cbor:",toarray"`
@@ -185,10 +193,10 @@
 		Clock       int64 // microseconds
 	}
 	claimItem struct {
-		_      struct{} `cbor:",toarray"`
-		Body   []byte
-		Signer []byte // a certificate, or the ID of a key
-		Proof  []byte
+		_         struct{} `cbor:",toarray"`
+		Body      []byte
+		Signer    []byte // a certificate, or the ID of a key
+		Signature []byte
 	}
 	rumourBody struct {
 		_        struct{} `cbor:",toarray"`
@@ -201,13 +209,13 @@
 		Made     int64 // microseconds
 	}
 	rumourItem struct {
-		_     struct{} `cbor:",toarray"`
-		Body  []byte
-		Proof []byte
+		_         struct{} `cbor:",toarray"`
+		Body      []byte
+		Signature []byte
 	}
-	toldItem struct {
+	agedRumour struct {
 		_   struct{} `cbor:",toarray"`
-		Raw []byte   // a rumourItem
+		Raw []byte   // an encoded rumourItem
 		Age int64    // milliseconds
 	}
 	messageBody struct {
@@ -218,8 +226,8 @@
 		Target   string
 		TargetAt []byte
 		Clock    int64    // microseconds
-		Claims   [][]byte // claimItems
-		Rumours  []toldItem
+		Claims   [][]byte // encoded claimItems
+		Rumours  []agedRumour
 	}
 	digestBody struct {
 		_       struct{} `cbor:",toarray"`
@@ -231,7 +239,7 @@
 	itemsBody struct {
 		_       struct{} `cbor:",toarray"`
 		Claims  [][]byte
-		Rumours []toldItem
+		Rumours []agedRumour
 		Wants   []gossip.Mark
 		Lacks   []gossip.Mark
 		Alive   []gossip.Mark
@@ -242,7 +250,7 @@
 func marshal(v any) []byte {
 	b, err := keys.Enc.Marshal(v)
 	if err != nil {
-		panic(err) // nothing in the bodies can fail to be encoded
+		panic(err) // the bodies have no field whose encoding can fail
 	}
 	return b
 }
@@ -255,72 +263,74 @@
 	return b
 }
 
-func addrOf(b []byte) (a netip.AddrPort, err error) {
+func parseAddr(b []byte) (a netip.AddrPort, err error) {
 	if len(b) > 0 {
 		err = a.UnmarshalBinary(b)
 	}
 	return a, err
 }
 
-// encodeClaim gives a claim as it was signed, or signs one of our own.
-func (b *Book) encodeClaim(c *gossip.Claim) []byte {
+// encodeClaim returns a claim's encoding as it was received, or signs and encodes one of the instance's own.
+func (cd *Book) encodeClaim(c *gossip.Claim) []byte {
 	if c.Raw != nil {
 		return c.Raw
 	}
 	body := marshal(&claimBody{Kind: c.Kind, Name: c.Name, Incarnation: c.Incarnation, Run: c.Run, Addr: addrBytes(c.Addr), Clock: c.Clock.Microseconds()})
-	signer := b.cert
+	signer := cd.certificate
 	if c.Kind == gossip.Accused {
-		signer = b.own[:]
+		signer = cd.ownKey[:]
 	}
-	return marshal(&claimItem{Body: body, Signer: signer, Proof: ed25519.Sign(b.ring.Private, append([]byte(claimDomain+b.cluster+"\x00"), body...))})
+	return marshal(&claimItem{Body: body, Signer: signer, Signature: ed25519.Sign(cd.keyring.Private, append([]byte(claimDomain+cd.cluster+"\x00"), body...))})
 }
 
-// encodeRumour does so for a rumour. Those of our own are signed once each.
-func (b *Book) encodeRumour(r *gossip.Rumour) []byte {
+// encodeRumour returns a rumour's encoding as it was received, or signs and encodes one of the instance's own. Each
+// of those is signed once, as long as it is cached.
+func (cd *Book) encodeRumour(r *gossip.Rumour) []byte {
 	if r.Raw != nil {
 		return r.Raw
 	}
-	if raw := b.signed[r.Number]; raw != nil {
+	if raw := cd.signedRumours[r.Number]; raw != nil {
 		return raw
 	}
 	body := marshal(&rumourBody{Key: r.Key[:], Run: r.Run, Server: r.Server, Symptom: r.Symptom, Strength: r.Strength, Number: r.Number,
 		Made: r.Made.Microseconds()})
-	raw := marshal(&rumourItem{Body: body, Proof: ed25519.Sign(b.ring.Private, append([]byte(rumourDomain+b.cluster+"\x00"), body...))})
-	if len(b.signedBy) >= mostSigned {
-		delete(b.signed, b.signedBy[0])
-		b.signedBy = b.signedBy[1:]
+	raw := marshal(&rumourItem{Body: body, Signature: ed25519.Sign(cd.keyring.Private, append([]byte(rumourDomain+cd.cluster+"\x00"), body...))})
+	if len(cd.signedOrder) >= maxSigned {
+		delete(cd.signedRumours, cd.signedOrder[0])
+		cd.signedOrder = cd.signedOrder[1:]
 	}
-	b.signed[r.Number] = raw
-	b.signedBy = append(b.signedBy, r.Number)
+	cd.signedRumours[r.Number] = raw
+	cd.signedOrder = append(cd.signedOrder, r.Number)
 	return raw
 }
 
-// fits checks an item's signature, once for each item as long as it is remembered.
-func (b *Book) fits(public ed25519.PublicKey, domain string, body, proof []byte) bool {
+// verifySignature reports whether an item's signature is valid. Valid signatures are cached, so that an item is usually
+// verified only once.
+func (cd *Book) verifySignature(public ed25519.PublicKey, domain string, body, signature []byte) bool {
 	h := sha256.New()
 	h.Write([]byte(domain))
 	h.Write(public)
 	h.Write(body)
-	h.Write(proof)
+	h.Write(signature)
 	var sum [16]byte
 	copy(sum[:], h.Sum(nil))
-	if _, ok := b.proved[sum]; ok {
+	if _, ok := cd.verified[sum]; ok {
 		return true
 	}
-	if len(proof) != ed25519.SignatureSize || !ed25519.Verify(public, append([]byte(domain+b.cluster+"\x00"), body...), proof) {
+	if len(signature) != ed25519.SignatureSize || !ed25519.Verify(public, append([]byte(domain+cd.cluster+"\x00"), body...), signature) {
 		return false
 	}
-	if len(b.provedBy) >= mostProved {
-		delete(b.proved, b.provedBy[0])
-		b.provedBy = b.provedBy[1:]
+	if len(cd.verifiedOrder) >= maxVerified {
+		delete(cd.verified, cd.verifiedOrder[0])
+		cd.verifiedOrder = cd.verifiedOrder[1:]
 	}
-	b.proved[sum] = struct{}{}
-	b.provedBy = append(b.provedBy, sum)
+	cd.verified[sum] = struct{}{}
+	cd.verifiedOrder = append(cd.verifiedOrder, sum)
 	return true
 }
 
-// claim proves one claim.
-func (b *Book) claim(raw []byte) (c gossip.Claim, err error) {
+// verifyClaim decodes and verifies a claim.
+func (cd *Book) verifyClaim(raw []byte) (c gossip.Claim, err error) {
 	var item claimItem
 	var body claimBody
 	if keys.Dec.Unmarshal(raw, &item) != nil || keys.Dec.Unmarshal(item.Body, &body) != nil {
@@ -328,56 +338,57 @@
 	}
 	var p *Peer
 	if len(item.Signer) == len(gossip.KeyID{}) {
-		p, err = b.peer(gossip.KeyID(item.Signer))
+		p, err = cd.validPeer(gossip.KeyID(item.Signer))
 	} else {
-		p, err = b.meet(item.Signer)
+		p, err = cd.verifyPeer(item.Signer)
 	}
 	if err != nil {
 		return c, err
 	}
-	addr, err := addrOf(body.Addr)
+	addr, err := parseAddr(body.Addr)
 	if err != nil || !keys.ValidName(body.Name) || body.Kind < gossip.Alive || body.Kind > gossip.Accused ||
-		(body.Kind == gossip.Accused) == (p.Name == body.Name) || body.Clock < 0 || body.Clock > maxClock ||
+		(body.Kind == gossip.Accused) == (p.Name == body.Name) || body.Clock < 0 || body.Clock > maxClockMicroseconds ||
 		body.Kind == gossip.Alive && !addr.IsValid() {
 		return c, ErrForm
 	}
-	if !b.fits(p.Public, claimDomain, item.Body, item.Proof) {
+	if !cd.verifySignature(p.Public, claimDomain, item.Body, item.Signature) {
 		return c, ErrSignature
 	}
 	return gossip.Claim{Kind: body.Kind, Name: body.Name, Incarnation: body.Incarnation, By: p.Name, Key: p.Key, Run: body.Run, Addr: addr,
 		Clock: time.Duration(body.Clock) * time.Microsecond, Raw: raw}, nil
 }
 
-// maxClock is the longest that an instance may claim to have run, in microseconds: a century.
-const maxClock = 100 * 365 * 24 * 3600 * 1e6
+// maxClockMicroseconds is the maximum uptime that an instance may claim: 100 years.
+const maxClockMicroseconds = 100 * 365 * 24 * 3600 * 1e6
 
-// rumour proves one rumour.
-func (b *Book) rumour(t *toldItem) (told gossip.Told, err error) {
+// verifyRumour decodes and verifies a rumour.
+func (cd *Book) verifyRumour(t *agedRumour) (told gossip.Told, err error) {
 	var item rumourItem
 	var body rumourBody
 	if keys.Dec.Unmarshal(t.Raw, &item) != nil || keys.Dec.Unmarshal(item.Body, &body) != nil || len(body.Key) != len(gossip.KeyID{}) ||
-		body.Symptom > gossip.Late || body.Made < 0 || body.Made > maxClock {
+		body.Symptom > gossip.Late || body.Made < 0 || body.Made > maxClockMicroseconds {
 		return told, ErrForm
 	}
-	p, err := b.peer(gossip.KeyID(body.Key))
+	p, err := cd.validPeer(gossip.KeyID(body.Key))
 	if err != nil {
 		return told, err
 	}
-	if !b.fits(p.Public, rumourDomain, item.Body, item.Proof) {
+	if !cd.verifySignature(p.Public, rumourDomain, item.Body, item.Signature) {
 		return told, ErrSignature
 	}
-	age := time.Duration(min(max(0, t.Age), maxClock/1000)) * time.Millisecond
+	age := time.Duration(min(max(0, t.Age), maxClockMicroseconds/1000)) * time.Millisecond
 	return gossip.Told{Age: age, Rumour: gossip.Rumour{Observer: p.Name, Key: p.Key, Run: body.Run, Server: body.Server, Symptom: body.Symptom,
 		Strength: body.Strength, Number: body.Number, Made: time.Duration(body.Made) * time.Microsecond, Raw: t.Raw}}, nil
 }
 
-// Knows tells whether a key's certificate has been proved.
-func (b *Book) Knows(id gossip.KeyID) bool { return b.peers[id] != nil }
+// Knows reports whether the certificate of a key has been verified.
+func (cd *Book) Knows(id gossip.KeyID) bool { return cd.peers[id] != nil }
 
-// Datagram encodes, signs and tags a message for the instance of a key. Nothing is sent to one that is not known. The
-// certificate goes along where a claim of our own does: that is where the receiver may not know us.
-func (b *Book) Datagram(to gossip.KeyID, m *gossip.Message) ([]byte, error) {
-	p, err := b.peer(to)
+// EncodeDatagram encodes, signs and tags a message for the peer with the given key. It fails if the peer is unknown.
+// The datagram carries this instance's certificate if its first claim is the instance's own; datagrams to a receiver
+// that may not know the instance start with such a claim.
+func (cd *Book) Datagram(to gossip.KeyID, m *gossip.Message) ([]byte, error) {
+	p, err := cd.validPeer(to)
 	if err != nil {
 		return nil, err
 	}
@@ -385,87 +396,89 @@
 	flags := byte(0)
 	for i := range m.Claims {
 		if m.Claims[i].Raw == nil && m.Claims[i].Kind != gossip.Accused && i == 0 {
-			flags = withCert
+			flags = flagCertificate
 		}
-		body.Claims = append(body.Claims, b.encodeClaim(&m.Claims[i]))
+		body.Claims = append(body.Claims, cd.encodeClaim(&m.Claims[i]))
 	}
 	for i := range m.Rumours {
-		body.Rumours = append(body.Rumours, toldItem{Raw: b.encodeRumour(&m.Rumours[i].Rumour), Age: m.Rumours[i].Age.Milliseconds()})
+		body.Rumours = append(body.Rumours, agedRumour{Raw: cd.encodeRumour(&m.Rumours[i].Rumour), Age: m.Rumours[i].Age.Milliseconds()})
 	}
-	b.counter++
+	cd.counter++
 	d := make([]byte, 0, 1400)
-	d = append(d, 'g', 'w', version, flags)
-	d = be.AppendUint32(d, b.tag)
-	d = append(d, b.own[:]...)
-	d = be.AppendUint64(d, b.run)
-	d = be.AppendUint64(d, b.counter)
+	d = append(d, 'g', 'w', protocolVersion, flags)
+	d = byteOrder.AppendUint32(d, cd.clusterHash)
+	d = append(d, cd.ownKey[:]...)
+	d = byteOrder.AppendUint64(d, cd.runID)
+	d = byteOrder.AppendUint64(d, cd.counter)
 	d = append(d, make([]byte, tagSize)...)
 	d = append(d, marshal(&body)...)
-	d = append(d, ed25519.Sign(b.ring.Private, b.toSign(d))...)
-	copy(d[tagAt:], tagOf(p.Shared, d))
+	d = append(d, ed25519.Sign(cd.keyring.Private, cd.signedBytes(d))...)
+	copy(d[tagOffset:], datagramTag(p.Shared, d))
 	return d, nil
 }
 
-// toSign is what a datagram's signature covers: all but the tag, which is made last and differs for each receiver anyway.
-func (b *Book) toSign(d []byte) []byte {
-	s := make([]byte, 0, len(datagramDomain)+len(b.cluster)+1+len(d))
+// signedBytes returns the bytes that a datagram's signature covers: everything but the tag, which is computed last and
+// differs between receivers.
+func (cd *Book) signedBytes(d []byte) []byte {
+	s := make([]byte, 0, len(datagramDomain)+len(cd.cluster)+1+len(d))
 	s = append(s, datagramDomain...)
-	s = append(append(s, b.cluster...), 0)
-	s = append(s, d[:tagAt]...)
+	s = append(append(s, cd.cluster...), 0)
+	s = append(s, d[:tagOffset]...)
 	return append(s, d[headerSize:]...)
 }
 
-func tagOf(secret, d []byte) []byte {
+// datagramTag returns the truncated HMAC of a datagram without its tag.
+func datagramTag(secret, d []byte) []byte {
 	m := hmac.New(sha256.New, secret)
-	m.Write(d[:tagAt])
+	m.Write(d[:tagOffset])
 	m.Write(d[headerSize:])
 	return m.Sum(nil)[:tagSize]
 }
 
-// Meets tells whether opening a datagram would mean to prove a certificate that is not known yet, which costs most. It looks
-// at a few bytes only.
-func (b *Book) Meets(d []byte) bool {
-	return len(d) > headerSize && d[3]&withCert != 0 && b.peers[gossip.KeyID(d[8:16])] == nil
+// HasUnknownCertificate reports whether opening a datagram involves verifying a certificate that is not known yet,
+// which is the most expensive case. It reads only a few bytes of the header.
+func (cd *Book) Meets(d []byte) bool {
+	return len(d) > headerSize && d[3]&flagCertificate != 0 && cd.peers[gossip.KeyID(d[8:16])] == nil
 }
 
-// Open proves a datagram and decodes it. Items in it that do not hold are left out, and counted by cause in dropped. The
-// checks come in the order of their cost.
-func (b *Book) Open(d []byte, dropped func(error)) (gossip.Datagram, error) {
+// Open verifies and decodes a datagram. Invalid items in it are left out and their errors passed to dropped. Cheaper
+// checks come first.
+func (cd *Book) Open(d []byte, dropped func(error)) (gossip.Datagram, error) {
 	var out gossip.Datagram
 	if len(d) < headerSize+ed25519.SignatureSize || d[0] != 'g' || d[1] != 'w' {
 		return out, ErrForm
 	}
-	if d[2] != version {
+	if d[2] != protocolVersion {
 		return out, ErrVersion
 	}
-	if be.Uint32(d[4:]) != b.tag {
+	if byteOrder.Uint32(d[4:]) != cd.clusterHash {
 		return out, ErrCluster
 	}
 	id := gossip.KeyID(d[8:16])
 	rest := d[headerSize : len(d)-ed25519.SignatureSize]
-	p, err := b.peer(id)
-	if err == ErrStranger && d[3]&withCert != 0 {
-		p, err = b.introduced(id, rest)
+	p, err := cd.validPeer(id)
+	if err == ErrStranger && d[3]&flagCertificate != 0 {
+		p, err = cd.verifySender(id, rest)
 	}
 	if err != nil {
 		return out, err
 	}
-	if !hmac.Equal(tagOf(p.Shared, d), d[tagAt:headerSize]) {
+	if !hmac.Equal(datagramTag(p.Shared, d), d[tagOffset:headerSize]) {
 		return out, ErrTag
 	}
-	signed := b.toSign(d[:len(d)-ed25519.SignatureSize])
+	signed := cd.signedBytes(d[:len(d)-ed25519.SignatureSize])
 	if !ed25519.Verify(p.Public, signed, d[len(d)-ed25519.SignatureSize:]) {
 		return out, ErrSignature
 	}
-	m, err := b.message(rest, dropped)
+	m, err := cd.decodeMessage(rest, dropped)
 	if err != nil {
 		return out, err
 	}
-	return gossip.Datagram{From: p.Name, Key: p.Key, Run: be.Uint64(d[16:]), Counter: be.Uint64(d[24:]), Message: m}, nil
+	return gossip.Datagram{From: p.Name, Key: p.Key, Run: byteOrder.Uint64(d[16:]), Counter: byteOrder.Uint64(d[24:]), Message: m}, nil
 }
 
-// introduced looks into a body that is not proved yet for the certificate of who sent it.
-func (b *Book) introduced(id gossip.KeyID, raw []byte) (*Peer, error) {
+// verifySender verifies the sender's certificate, which it takes from a body that is not verified yet.
+func (cd *Book) verifySender(id gossip.KeyID, raw []byte) (*Peer, error) {
 	var body messageBody
 	var item claimItem
 	if keys.Dec.Unmarshal(raw, &body) != nil || len(body.Claims) == 0 || keys.Dec.Unmarshal(body.Claims[0], &item) != nil {
@@ -474,36 +487,37 @@
 	if c, err := keys.ParseCertificate(item.Signer); err != nil || c.Key() != id {
 		return nil, ErrForm
 	}
-	return b.meet(item.Signer)
+	return cd.verifyPeer(item.Signer)
 }
 
-func (b *Book) message(raw []byte, dropped func(error)) (*gossip.Message, error) {
+// decodeMessage decodes the body of a datagram and verifies its items.
+func (cd *Book) decodeMessage(raw []byte, dropped func(error)) (*gossip.Message, error) {
 	var body messageBody
 	if err := keys.Dec.Unmarshal(raw, &body); err != nil {
 		return nil, ErrForm
 	}
-	at, err := addrOf(body.TargetAt)
+	at, err := parseAddr(body.TargetAt)
 	if err != nil || body.Kind < gossip.Ping || body.Kind > gossip.Tell || len(body.Claims)+len(body.Rumours) > maxItems ||
-		body.Target != "" && !keys.ValidName(body.Target) || body.Clock < 0 || body.Clock > maxClock {
+		body.Target != "" && !keys.ValidName(body.Target) || body.Clock < 0 || body.Clock > maxClockMicroseconds {
 		return nil, ErrForm
 	}
 	m := &gossip.Message{Kind: body.Kind, Number: body.Number, Prove: body.Prove, Target: body.Target, TargetAt: at,
 		Clock: time.Duration(body.Clock) * time.Microsecond}
-	m.Claims, m.Rumours = b.items(body.Claims, body.Rumours, dropped)
+	m.Claims, m.Rumours = cd.verifyItems(body.Claims, body.Rumours, dropped)
 	return m, nil
 }
 
-// items proves claims and rumours; claims first, as they bring the certificates of who made the rumours.
-func (b *Book) items(claims [][]byte, rumours []toldItem, dropped func(error)) (cs []gossip.Claim, rs []gossip.Told) {
+// verifyItems verifies claims and rumours: claims first, as they carry the certificates of the rumours' observers.
+func (cd *Book) verifyItems(claims [][]byte, rumours []agedRumour, dropped func(error)) (cs []gossip.Claim, rs []gossip.Told) {
 	for _, raw := range claims {
-		if c, err := b.claim(raw); err == nil {
+		if c, err := cd.verifyClaim(raw); err == nil {
 			cs = append(cs, c)
 		} else {
 			dropped(err)
 		}
 	}
 	for i := range rumours {
-		if t, err := b.rumour(&rumours[i]); err == nil {
+		if t, err := cd.verifyRumour(&rumours[i]); err == nil {
 			rs = append(rs, t)
 		} else {
 			dropped(err)
@@ -512,18 +526,18 @@
 	return cs, rs
 }
 
-// EncodeDigest encodes a digest for a stream.
-func (b *Book) EncodeDigest(d *gossip.Digest) []byte {
-	return marshal(&digestBody{Own: b.encodeClaim(&d.Own), Members: d.Members, Dead: d.Dead, Rumours: d.Rumours})
+// EncodeDigest encodes a digest for a stream, signing the instance's own claim.
+func (cd *Book) EncodeDigest(d *gossip.Digest) []byte {
+	return marshal(&digestBody{Own: cd.encodeClaim(&d.Own), Members: d.Members, Dead: d.Dead, Rumours: d.Rumours})
 }
 
-// Digest decodes one that came from an instance; what it says of itself must be its own.
-func (b *Book) Digest(raw []byte, from *Peer) (*gossip.Digest, error) {
+// DecodeDigest decodes a digest received from a peer. The claim in it must be the peer's own.
+func (cd *Book) Digest(raw []byte, from *Peer) (*gossip.Digest, error) {
 	var body digestBody
 	if err := keys.Dec.Unmarshal(raw, &body); err != nil || len(body.Members)+len(body.Dead)+len(body.Rumours) > 3*maxMarks {
 		return nil, ErrForm
 	}
-	own, err := b.claim(body.Own)
+	own, err := cd.verifyClaim(body.Own)
 	if err != nil {
 		return nil, err
 	}
@@ -534,13 +548,13 @@
 }
 
 // EncodeItems encodes items for a stream.
-func (b *Book) EncodeItems(i *gossip.Items) []byte {
+func (cd *Book) EncodeItems(i *gossip.Items) []byte {
 	body := itemsBody{Wants: i.Wants, Lacks: i.Lacks, Alive: i.Alive}
 	for j := range i.Claims {
-		body.Claims = append(body.Claims, b.encodeClaim(&i.Claims[j]))
+		body.Claims = append(body.Claims, cd.encodeClaim(&i.Claims[j]))
 	}
 	for j := range i.Rumours {
-		body.Rumours = append(body.Rumours, toldItem{Raw: b.encodeRumour(&i.Rumours[j].Rumour), Age: i.Rumours[j].Age.Milliseconds()})
+		body.Rumours = append(body.Rumours, agedRumour{Raw: cd.encodeRumour(&i.Rumours[j].Rumour), Age: i.Rumours[j].Age.Milliseconds()})
 	}
 	if i.SeenAt.IsValid() {
 		body.SeenAt, _ = i.SeenAt.MarshalBinary()
@@ -548,8 +562,8 @@
 	return marshal(&body)
 }
 
-// Items decodes items; those that do not hold are left out.
-func (b *Book) Items(raw []byte, dropped func(error)) (*gossip.Items, error) {
+// DecodeItems decodes items. Invalid ones are left out and their errors passed to dropped.
+func (cd *Book) Items(raw []byte, dropped func(error)) (*gossip.Items, error) {
 	var body itemsBody
 	if err := keys.Dec.Unmarshal(raw, &body); err != nil || len(body.Wants)+len(body.Lacks)+len(body.Alive) > 3*maxMarks ||
 		len(body.Claims)+len(body.Rumours) > 8*maxItems {
@@ -559,57 +573,62 @@
 	if len(body.SeenAt) > 0 && i.SeenAt.UnmarshalBinary(body.SeenAt) != nil {
 		return nil, ErrForm
 	}
-	i.Claims, i.Rumours = b.items(body.Claims, body.Rumours, dropped)
+	i.Claims, i.Rumours = cd.verifyItems(body.Claims, body.Rumours, dropped)
 	return i, nil
 }
 
-// TagSize is the length of a frame's tag on a stream.
+// TagSize is the size of the tag of a frame on a stream, in bytes.
 const TagSize = tagSize
 
-// Cluster is the mark of the cluster.
-func (b *Book) Cluster() uint32 { return b.tag }
+// ClusterHash returns the hash of the cluster's name that identifies the cluster in headers.
+func (cd *Book) Cluster() uint32 { return cd.clusterHash }
 
-// Certificate is the instance's own, encoded.
-func (b *Book) Certificate() []byte { return b.cert }
+// Certificate returns the instance's own certificate, encoded.
+func (cd *Book) Certificate() []byte { return cd.certificate }
 
-// Meet proves the certificate of an instance on a stream.
-func (b *Book) Meet(cert []byte) (*Peer, error) { return b.meet(cert) }
+// VerifyPeer verifies the certificate of the instance at the other end of a stream.
+func (cd *Book) Meet(cert []byte) (*Peer, error) { return cd.verifyPeer(cert) }
 
-// Session tags the frames of one stream, each way by itself and in order.
+// StreamMAC computes and verifies the tags of the frames on one stream. The frames of each direction are numbered, so
+// that they have to arrive complete and in order.
 type Session struct {
-	key       []byte
-	out, in   uint64
-	outA, inA byte
+	key          []byte
+	sent         uint64 // frames
+	received     uint64 // frames
+	sendLabel    byte   // 'o' for frames of the side that opened the stream, 'a' for those of the other
+	receiveLabel byte
 }
 
-// Session makes the one of a stream from both sides' fresh numbers, of who opened it first.
-func (b *Book) Session(p *Peer, opener, other []byte, opened bool) *Session {
+// NewStreamMAC returns the StreamMAC of a stream with a peer. Its key is derived from the shared secret and the
+// nonces of the opening and the accepting side. The argument opened tells whether this side opened the stream.
+func (cd *Book) Session(p *Peer, openerNonce, acceptorNonce []byte, opened bool) *Session {
 	m := hmac.New(sha256.New, p.Shared)
 	m.Write([]byte("gorsewell stream 1\x00"))
-	m.Write(opener)
-	m.Write(other)
-	s := &Session{key: m.Sum(nil), outA: 'o', inA: 'a'}
+	m.Write(openerNonce)
+	m.Write(acceptorNonce)
+	s := &Session{key: m.Sum(nil), sendLabel: 'o', receiveLabel: 'a'}
 	if !opened {
-		s.outA, s.inA = s.inA, s.outA
+		s.sendLabel, s.receiveLabel = s.receiveLabel, s.sendLabel
 	}
 	return s
 }
 
-func (s *Session) tag(way byte, number uint64, frame []byte) []byte {
+// compute returns the tag of a frame, given the label of its direction and its number.
+func (s *Session) compute(label byte, number uint64, frame []byte) []byte {
 	m := hmac.New(sha256.New, s.key)
-	m.Write(be.AppendUint64([]byte{way}, number))
+	m.Write(byteOrder.AppendUint64([]byte{label}, number))
 	m.Write(frame)
 	return m.Sum(nil)[:tagSize]
 }
 
-// Seal is the tag of the next frame that goes out.
+// Tag returns the tag of the next frame to send.
 func (s *Session) Seal(frame []byte) []byte {
-	s.out++
-	return s.tag(s.outA, s.out, frame)
+	s.sent++
+	return s.compute(s.sendLabel, s.sent, frame)
 }
 
-// Fits checks the tag of the next frame that has come in.
+// Verify reports whether the tag of the next received frame is valid.
 func (s *Session) Fits(frame, tag []byte) bool {
-	s.in++
-	return hmac.Equal(s.tag(s.inA, s.in, frame), tag)
+	s.received++
+	return hmac.Equal(s.compute(s.receiveLabel, s.received, frame), tag)
 }
