--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// member is one gateway of many before the same servers.
-type member struct {
-	diary
-	g    *Gateway
-	rate float64 // of the ops that come in
-	next time.Duration
-	ids  uint32
-	out  []due
+// fleetGateway is one gateway of many before the same servers.
+type fleetGateway struct {
+	recordingHost
+	gateway  *Gateway
+	rate     float64 // of the ops that come in
+	nextOpAt time.Duration
+	lastOpID uint32
+	pending  []pendingAnswer
 }
 
-// due is an answer that is to come.
-type due struct {
+// pendingAnswer is an answer that is to come.
+type pendingAnswer struct {
 	at     time.Duration
 	op     uint32
 	number uint8
@@ -28,15 +28,17 @@
 	sentAt time.Duration
 }
 
-func (m *member) Send(op, server uint32, _ time.Duration) {
-	m.out = append(m.out, due{server: server, op: op, number: uint8(m.g.ops[op].sends - 1)})
+func (m *fleetGateway) Send(op, server uint32, _ time.Duration) {
+	m.pending = append(m.pending, pendingAnswer{server: server, op: op, number: uint8(m.gateway.ops[op].sends - 1)})
+}
+func (m *fleetGateway) Probe(server uint32) {
+	m.pending = append(m.pending, pendingAnswer{server: server, probe: true})
 }
-func (m *member) Probe(server uint32) { m.out = append(m.out, due{server: server, probe: true}) }
 
-// coldSum plays gateways of unequal traffic before three replicas of one group and one of another, which starts again, of which
+// worstColdExcess plays gateways of unequal traffic before three replicas of one group and one of another, which starts again, of which
 // they are told late. It gives the most by which the sends of all to that one, from then on and in any window of the stated time,
 // lie above the stated multiple of what it can do, as a part of what may be put down to chance. -1 where they never do.
-func coldSum(gateways int, total float64, told time.Duration, seed uint64) (worst float64) {
+func worstColdExcess(gateways int, total float64, told time.Duration, seed uint64) (worst float64) {
 	const (
 		work  = 40 * ms
 		start = 20 * time.Second
@@ -46,15 +48,15 @@
 		ColdTime: 12 * time.Second, OverloadFactor: 3, OverloadTime: 3 * time.Second,
 		OpTypes: []OpType{{Effect: Retryable, Need: Any, Target: 400 * ms, Timeout: 2 * time.Second, Value: 1}}}
 	rng := rand.New(rand.NewPCG(seed, 1))
-	var fleet []*member
+	var fleet []*fleetGateway
 	sum := 0.0
 	for i := range gateways {
-		m := &member{rate: math.Exp(rng.NormFloat64())}
+		m := &fleetGateway{rate: math.Exp(rng.NormFloat64())}
 		sum += m.rate
 		dd := *d
 		dd.Seed = seed<<16 + uint64(i)
-		m.g = New(m, &dd)
-		m.g.List(0, ListCached, []Listed{{ID: 1, State: Ready, Started: LongPast}, {ID: 2, State: Ready, Started: LongPast},
+		m.gateway = New(m, &dd)
+		m.gateway.List(0, ListCached, []Listed{{ID: 1, State: Ready, Started: LongPast}, {ID: 2, State: Ready, Started: LongPast},
 			{ID: 3, State: Ready, Started: LongPast}, {ID: cold, State: Ready, Group: 1, Started: LongPast}})
 		fleet = append(fleet, m)
 	}
@@ -66,19 +68,19 @@
 	for now := ms; now < start+d.ColdTime+told; now += ms {
 		for _, m := range fleet {
 			if now == start+told {
-				m.g.List(now, ListChanges, []Listed{{ID: cold, State: Ready, Group: 1, Started: start}})
+				m.gateway.List(now, ListChanges, []Listed{{ID: cold, State: Ready, Group: 1, Started: start}})
 			}
-			m.g.Timer(now, 0)
+			m.gateway.Timer(now, 0)
 			surge := 0
 			if now > start {
 				surge = 2
 			}
-			for ; m.next <= now; m.next += time.Duration(rng.ExpFloat64() / m.rate * float64(time.Second) * 4 / float64(4+surge)) {
-				m.ids++
-				m.g.Op(now, m.ids, 0, 0, now+2*time.Second, min(1, uint16(rng.IntN(4+surge)/3)), 0, false)
+			for ; m.nextOpAt <= now; m.nextOpAt += time.Duration(rng.ExpFloat64() / m.rate * float64(time.Second) * 4 / float64(4+surge)) {
+				m.lastOpID++
+				m.gateway.Op(now, m.lastOpID, 0, 0, now+2*time.Second, min(1, uint16(rng.IntN(4+surge)/3)), 0, false)
 			}
-			for i := 0; i < len(m.out); i++ {
-				a := &m.out[i]
+			for i := 0; i < len(m.pending); i++ {
+				a := &m.pending[i]
 				switch {
 				case a.at == 0 && a.probe:
 					a.at = now + ms
@@ -100,17 +102,17 @@
 					}
 				}
 			}
-			for i := 0; i < len(m.out); {
-				a := m.out[i]
+			for i := 0; i < len(m.pending); {
+				a := m.pending[i]
 				if a.at > now {
 					i++
 					continue
 				}
-				m.out = append(m.out[:i], m.out[i+1:]...)
+				m.pending = append(m.pending[:i], m.pending[i+1:]...)
 				if a.probe {
-					m.g.ProbeAnswer(now, a.server, Acked, ms)
+					m.gateway.ProbeAnswer(now, a.server, Acked, ms)
 				} else {
-					m.g.Answer(now, a.op, a.number, a.server, a.result, now-a.sentAt, a.result == Acked, Replica, now)
+					m.gateway.Answer(now, a.op, a.number, a.server, a.result, now-a.sentAt, a.result == Acked, Replica, now)
 				}
 			}
 		}
@@ -131,7 +133,7 @@
 
 // All gateways together keep a cold server's budget, also from the moment that they are told of it, with three times the usual
 // load of its group before it. A quarter of what chance may add is all that they use, as real work is uneven too.
-func TestTheRampHoldsForTheSumOfAllGateways(t *testing.T) {
+func TestColdLimitHoldsForSumOfAllGateways(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
 		for _, c := range []struct {
@@ -139,7 +141,7 @@
 			total    float64
 			told     time.Duration
 		}{{20, 20, 0}, {30, 20, time.Second}, {30, 100, 0}} {
-			if worst := coldSum(c.gateways, c.total, c.told, seed); worst > 0.25 {
+			if worst := worstColdExcess(c.gateways, c.total, c.told, seed); worst > 0.25 {
 				t.Errorf("%+v, seed %d: over the budget by %.2f of what chance may add", c, seed, worst)
 			}
 		}
