--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,8 +1,5 @@
 package choice
 
-// A Gateway decides for one gateway. Its host makes one with New and calls a method for each event: List, Op,
-// Answer, Report, ProbeAnswer, ClientGone, Rumour, Timer, Stop. It acts by calling the Host, see host.go.
-
 import (
 	"cmp"
 	"encoding/binary"
@@ -12,34 +9,84 @@
 	"time"
 )
 
-// The few constants are ratios, so that they fit any deployment.
+// Tuning constants. Nearly all are ratios, so that they fit any deployment.
 const (
-	holdDivisor             = 4      // part of its latency target that a session read is held, that a marked retry has left
-	queueingDivisor         = 6      // answers later than this part of the latency target show a queue at the server
-	limitDecrease           = 0.8    // what a server may owe shrinks so at such an answer
-	connShortageWaits       = 128    // brief waits for which trouble with connections is taken to last
-	stallTicks              = 8      // ticks without a timer that show that the gateway itself stood still
-	congestionDecrease      = 1. / 2 // of a strain for a timely answer: it stands still with one late answer in four
-	maxCongestion           = 8      // strains at most: so that it can be seen when it has gone
-	initialLimit            = 8      // sends owed by a server that nothing is known of
-	sampleSize              = 64     // a histogram is halved at this many entries
-	overdueFactor           = 3      // usual answer times after which an answer is overdue; twice that in all is silence
-	lostFactor              = 12     // usual answer times, for each send of the op, after which one is called back
-	probesToReturn          = 2      // probes that bring a server back that was set aside
-	probesPerOp             = 0.25   // probes for each op that came in, beyond those that the design asks for
-	averagingSamples        = 8      // reports of primaries over which their age is averaged
-	shortWaitDivisor        = 16     // part of the shortest latency target that counts as a brief wait
-	rumourThreshold         = 1      // how many others, weighed, must find a server in trouble for it to matter
-	rumouredWeightDivisor   = 8      // part of its turn that a replica keeps of which they say so
-	rumouredReplicasDivisor = 3      // part of the replicas in use that are passed over for what others say, at most
-	maxBackoffWaits         = 32     // brief waits for which a server is passed over at most
-	coldBurstDivisor        = 8      // part of the stated overload time for which a cold server's allowance adds up unused
-	coldSafetyFactor        = 0.8    // of the allowance for a cold server that is used: usual times stand in for work
-	never                   = time.Duration(math.MaxInt64)
-	maxExpectedRetries      = 4096 // clients that may ask again; beyond that the oldest is forgotten
+	// holdDivisor: a session read is held for a fresh enough replica for its latency target divided by this. A marked
+	// retry of an op whose first try is unknown counts as having the same share of its latency target left.
+	holdDivisor = 4
+
+	// queueingDivisor: an answer that took longer than the latency target divided by this shows queueing at the server.
+	queueingDivisor = 6
+
+	// limitDecrease is the factor by which such an answer reduces the limit of open sends at a server.
+	limitDecrease = 0.8
+
+	// connShortageWaits is the time, in short waits, for which a shortage of connections is assumed to last.
+	connShortageWaits = 128
+
+	// stallTicks is the time without a timer event, in ticks, that shows that the gateway process itself stood still.
+	stallTicks = 8
+
+	// congestionDecrease is what a timely answer takes off the congestion level, to which a late one adds 1.
+	// The level stays constant with about one late answer in four.
+	congestionDecrease = 1. / 2
+
+	// maxCongestion bounds the congestion level, so that the end of the congestion is noticed soon.
+	maxCongestion = 8
+
+	// initialLimit is the limit of open sends, of all gateways together, at a server of which nothing is known.
+	initialLimit = 8
+
+	// sampleSize scales the samples of answer times: a histogram is halved when one of its bins holds half of
+	// this, and its mean is used from an eighth of this. A quarter of this, and one for each server, bounds the
+	// probe budget.
+	sampleSize = 64
+
+	// overdueFactor is the number of mean answer times after which an answer is overdue. A server is silent when
+	// one of its answers is overdue and all of them together are by twice that.
+	overdueFactor = 3
+
+	// lostFactor is the number of mean answer times, for each send of the op, after which a send is cancelled as lost.
+	lostFactor = 12
+
+	// probesToReturn is the number of answered probes that bring back a server that was set aside.
+	probesToReturn = 2
+
+	// probesPerOp is what each op that comes in adds to the probe budget.
+	probesPerOp = 0.25
+
+	// averagingSamples is the number of samples over which report ages and times between ops are averaged.
+	averagingSamples = 8
+
+	// shortWaitDivisor: the short wait, the unit of backoff times, is the shortest latency target divided by this.
+	shortWaitDivisor = 16
+
+	// rumourThreshold is the weighted number of other gateways from which their reports of trouble at a server count.
+	rumourThreshold = 1
+
+	// rumouredWeightDivisor divides the weight in the rotation of a replica that others report to be in trouble.
+	rumouredWeightDivisor = 8
+
+	// rumouredReplicasDivisor: at most the number of replicas in use divided by this have a reduced weight.
+	rumouredReplicasDivisor = 3
+
+	// maxBackoffWaits is the longest backoff from a server, in short waits.
+	maxBackoffWaits = 32
+
+	// coldBurstDivisor: the allowance of a cold server accumulates, unused, for the overload time divided by this.
+	coldBurstDivisor = 8
+
+	// coldSafetyFactor is the part of a cold server's allowance that is used, as mean answer times only estimate work.
+	coldSafetyFactor = 0.8
+
+	// never is a time that does not come.
+	never = time.Duration(math.MaxInt64)
+
+	// maxExpectedRetries is the number of unanswered ops kept to recognize their retries. The oldest is dropped first.
+	maxExpectedRetries = 4096
 )
 
-// histogram counts answer times in bins that double, from 1/32 of a unit to twice that unit.
+// histogram counts answer times in bins whose bounds double, from 1/32 of a unit to twice that unit.
 type histogram [8]uint32
 
 func (h *histogram) add(took, unit time.Duration) {
@@ -52,7 +99,7 @@
 	}
 }
 
-// mean is the average, or the unit's quarter where too little is known.
+// mean returns the average answer time, or a quarter of the unit if there are too few samples.
 func (h *histogram) mean(unit time.Duration) time.Duration {
 	count, sum, middle := 0.0, 0.0, float64(unit)/32*0.75
 	for _, n := range h {
@@ -64,31 +111,44 @@
 	return time.Duration(sum / count)
 }
 
+// opType is an op type of the deployment with what the gateway has observed of it.
 type opType struct {
 	OpType
-	answerTimes                 histogram     // answer times as parts of the latency target
-	lastArrival, meanArrivalGap time.Duration // when the newest came in; the mean time between two
+	answerTimes    histogram     // with the latency target as unit
+	lastArrival    time.Duration // when the newest op of the type came in
+	meanArrivalGap time.Duration // mean time between two ops of the type
 }
 
 func (t *opType) meanAnswerTime() time.Duration { return t.answerTimes.mean(t.Target) }
 
+// op is one try of a client's op, from its arrival to its final answer and the end of its last send.
 type op struct {
-	id                                    uint32
-	opType                                *opType
-	group                                 *group
-	session                               uint64
-	admissionDraw, valueRate              float64       // whether it falls into a share; its value for a unit of time
-	targetEnd, holdEnd, clientLeavesAt    time.Duration // its latency target; held for a replica; its client leaves
-	sentTo                                *server       // where a send is out, or nil
-	sends                                 int
-	sentAt, waitStart                     time.Duration // the newest send; that or the end of an own pause
-	firstErrorFrom                        *server       // the first that answered it with an error
-	minPosition, mayHaveRunAt             time.Duration // the position to see; the first send that may have run, if any
-	retriesEnd, endedAt, retryFrom        time.Duration // of all its tries; when it ended unanswered; till when
-	failsEverywhere, held, declined, done bool          // it fails at any server; a replica turned it away
-}
-
-// requiredPosition is the position that a replica must have reached.
+	id              uint32
+	opType          *opType
+	group           *group
+	session         uint64
+	admissionDraw   float64       // random, from 0 to 1: it is admitted where at least this share of ops is
+	valueRate       float64       // value per unit of server time; sorts the held ops
+	targetEnd       time.Duration // when its latency target ends
+	holdEnd         time.Duration // until when it waits for a replica that is fresh enough
+	clientLeavesAt  time.Duration // when its client stops waiting
+	sentTo          *server       // where a send is out, or nil
+	sends           int           // number of sends so far
+	sentAt          time.Duration // time of the newest send
+	waitStart       time.Duration // sentAt, or a later stall of the gateway or cancel, from which waiting is counted anew
+	firstErrorFrom  *server       // the first server that answered it with an error
+	minPosition     time.Duration // position that a replica must have reached to answer it
+	mayHaveRunAt    time.Duration // time of the first send that may have run, or never
+	retriesEnd      time.Duration // op timeout counted from the first try; there is no retry after it
+	endedAt         time.Duration // when it ended without an answer
+	retryFrom       time.Duration // when the client may retry, by the time named in the busy reply
+	failsEverywhere bool          // two servers without other trouble answered it with an error
+	held            bool          // it waits in its group's list of held ops
+	declined        bool          // a server declined it for its role or its position
+	done            bool          // it has its final answer, or needs none
+}
+
+// requiredPosition returns the position that a replica must have reached.
 func (o *op) requiredPosition(now time.Duration) time.Duration {
 	if o.opType.Need == Bounded {
 		return now - o.opType.Bound
@@ -96,63 +156,92 @@
 	return o.minPosition
 }
 
+// server is what the gateway knows of one server.
 type server struct {
-	id                                       uint32
-	group                                    *group
-	state                                    State
-	machineKind                              uint8 // of machine, as listed
-	role                                     Role
-	weight, credit                           float64       // in the rotation
-	coldAllowance, ackedWork                 float64       // work that a cold one may be sent, below 0: had more; has acked of late
-	position                                 time.Duration // the newest position told, it never goes back
-	lag                                      time.Duration // how far behind it was
-	listedStart, warmUpStart                 time.Duration // as listed; when it began to warm up, as listed or as it seems
-	lostAt, roleAsOf                         time.Duration // when nobody was there; how new what is known of the role is
-	openSends                                []*op         // oldest first
-	lastHeardAt, aliveAsOf, limitDecreasedAt time.Duration // newest sign of life; when what it answered was sent; limit last cut
-	limit                                    float64       // sends that it may owe; below one, the chance that an op may be sent
-	allowanceUpdatedAt, nextProbeAt          time.Duration // nextProbe: never while one is out
-	probesNeeded                             int           // probes to be answered before it is used, at first or when set aside
-	backoff, backoffEnd                      time.Duration // for which it was last passed over, 0 once it has acked; until when
-	trouble                                  Trouble       // that was last told of it
-	rumour                                   float64       // how many other gateways, weighed, say that it is in trouble
-}
-
+	id                 uint32
+	group              *group
+	state              State
+	machineKind        uint8 // as listed
+	role               Role
+	weight             float64       // share of the rotation, as listed
+	credit             float64       // in the smooth weighted round robin over replicas
+	coldAllowance      float64       // work that may still be sent while it is cold; negative after more was sent
+	ackedWork          float64       // work acked recently, decaying over the overload time
+	position           time.Duration // newest position known; it never goes back
+	lag                time.Duration // how far its position was behind when it was learned
+	listedStart        time.Duration // when it started, as listed
+	warmUpStart        time.Duration // when its warm-up began: as listed, or as assumed after it was lost
+	lostAt             time.Duration // when it was found not to be running, or never
+	roleAsOf           time.Duration // time of the evidence for its role
+	openSends          []*op         // oldest first
+	lastHeardAt        time.Duration // time of its newest sign of life
+	aliveAsOf          time.Duration // send time of the newest message that it answered
+	limitDecreasedAt   time.Duration // when late answers last reduced limit
+	limit              float64       // most open sends at it; below 1, the share of ops that may be sent to it
+	allowanceUpdatedAt time.Duration // when coldAllowance was last computed
+	nextProbeAt        time.Duration // when it may be probed; never while a probe is out
+	probesNeeded       int           // answered probes needed before it is used, when new or set aside
+	backoff            time.Duration // length of its newest backoff, 0 after an ack
+	backoffEnd         time.Duration // it is avoided until then
+	trouble            Trouble       // as last reported to the host
+	rumour             float64       // weighted number of other gateways that report it to be in trouble
+}
+
+// group is a primary and its replicas, which hold the same data.
 type group struct {
 	members   []*server // in id order
-	primary   *server   // the member with the newest evidence of being it
-	held      []*op     // most valuable first
-	openSends int       // sends out to members
+	primary   *server   // the member with the newest evidence of being the primary, or nil
+	held      []*op     // sorted by value rate, highest first
+	openSends int       // at all members
 }
 
-// Gateway decides where every op of one gateway goes.
+// Gateway decides where every op of one gateway goes, see the package comment.
 type Gateway struct {
 	host       Host
 	opTypes    []opType
 	ops        map[uint32]*op
 	servers    map[uint32]*server
 	groups     map[uint16]*group
-	groupOrder []*group // in the order in which they were first named
-
-	tick, shortWait, maxRetryAfter                  time.Duration // between looks; brief wait; wait that clients honour
-	replicasCheck, writeAgeCarried, steadyProbing   bool          // replicas check reads; reads tell marks; only probes do
-	mayProbe, mayCancel, retriesMarked              bool          // allowed; allowed; clients mark what they ask for again
-	maxSends, initialProbes                         int           // sends for an op; probes before first use
-	nextListRequest, listBackoff, maxListBackoff    time.Duration // for the list again, 0: not; the next wait; the longest
-	warmUpTime, overloadTime                        time.Duration
-	coldCapacityShare, overloadFactor, gatewayCount float64
-
-	reportAge                                   time.Duration // that reports have, by those of primaries
-	warmWork, warmRate, probeBudget             float64       // work sent to warm servers of late; to one, per time; probes
-	primaryCongestion, replicaCongestion        *[256]float64 // the strain on primaries and on replicas, by kind of machine
-	lastTimerAt, lastFullPassAt, stallNoticedAt time.Duration // the last timer; walk of all groups; end of a pause of its own
-	connShortageEnd, lastResetAt                time.Duration // connections are taken to be scarce; the last reset
-
-	expectedRetries   []*op // that ended unanswered, oldest first: clients are likely to ask for the same
-	seed, randomDraws uint64
-}
-
-// New makes a gateway's decision module. The host hands over the cached list next.
+	groupOrder []*group // in the order in which they were first listed
+
+	tick              time.Duration // time between two timer events
+	shortWait         time.Duration // unit of backoff times, see shortWaitDivisor
+	maxRetryAfter     time.Duration // longest wait in a busy reply that clients honour
+	replicasCheck     bool          // servers check themselves whether a read's data is fresh enough
+	writeAgeCarried   bool          // session reads carry the age of their session's last write
+	steadyProbing     bool          // servers are probed all the time, as only probes tell their positions
+	mayProbe          bool
+	mayCancel         bool
+	retriesMarked     bool          // clients mark retries
+	maxSends          int           // for one op
+	initialProbes     int           // answered probes needed before a new server is used
+	nextListRequest   time.Duration // when to ask for the list again, 0 for not at all
+	listBackoff       time.Duration // wait after the next failure of the list
+	maxListBackoff    time.Duration // upper bound of listBackoff
+	warmUpTime        time.Duration // time that a cold server takes to reach its full capacity
+	overloadTime      time.Duration // time for which a cold server withstands overload
+	coldCapacityShare float64       // share of its capacity that a server has when it starts
+	overloadFactor    float64       // multiple of its capacity that a cold server withstands
+	gatewayCount      float64
+
+	reportAge         time.Duration // mean age of reports, measured on those of primaries
+	warmWork          float64       // work sent to warm servers, decaying over the overload time
+	warmRate          float64       // work per time that one warm server takes
+	probeBudget       float64       // probes that may be sent
+	primaryCongestion *[256]float64 // by kind of machine, see congestion
+	replicaCongestion *[256]float64 // by kind of machine, see congestion
+	lastTimerAt       time.Duration
+	lastFullPassAt    time.Duration // when a timer event last handled all groups
+	stallNoticedAt    time.Duration // when a stall of the gateway itself was last noticed, at its end
+	connShortageEnd   time.Duration // until then connections are assumed to be scarce
+	lastResetAt       time.Duration // when a connection was last reset
+
+	expectedRetries []*op // ops that ended unanswered and that clients may retry, oldest first
+	seed            uint64
+	randomDraws     uint64 // random numbers drawn so far
+}
+
+// New returns the decision module of a gateway. The host calls List with the cached list next.
 func New(h Host, d *Deployment) *Gateway {
 	g := &Gateway{
 		host: h, ops: map[uint32]*op{}, servers: map[uint32]*server{}, groups: map[uint16]*group{},
@@ -177,21 +266,22 @@
 	return g
 }
 
-// Op is called when a client's op comes in. wroteAgo is 0 where the session's last write is not told.
-func (g *Gateway) Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration,
-	inGroup uint16, wroteAgo time.Duration, again bool) {
+// Op handles a client's op that has come in. clientLeavesAt is the time at which its client stops waiting, writeAge the
+// age of the session's last write, 0 if it is not known. isRetry is true if the client marked the op as a retry.
+func (g *Gateway) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration,
+	groupID uint16, writeAge time.Duration, isRetry bool) {
 	g.detectStall(now)
-	t := &g.opTypes[kind]
-	o := &op{id: id, opType: t, group: cmp.Or(g.groups[inGroup], &group{}), session: session, admissionDraw: g.random(),
-		minPosition: never, mayHaveRunAt: never, targetEnd: now + t.Target, holdEnd: now + t.Target/holdDivisor, clientLeavesAt: due,
-		retriesEnd: now + t.Timeout}
+	t := &g.opTypes[typeNumber]
+	o := &op{id: id, opType: t, group: cmp.Or(g.groups[groupID], &group{}), session: session, admissionDraw: g.random(),
+		minPosition: never, mayHaveRunAt: never, targetEnd: now + t.Target, holdEnd: now + t.Target/holdDivisor,
+		clientLeavesAt: clientLeavesAt, retriesEnd: now + t.Timeout}
 	t.lastArrival, t.meanArrivalGap = now, t.meanArrivalGap+(now-t.lastArrival-t.meanArrivalGap)/averagingSamples
-	g.matchRetry(now, o, again)
+	g.matchRetry(now, o, isRetry)
 	switch t.Need {
 	case Session:
-		if g.writeAgeCarried && wroteAgo > 0 {
-			o.minPosition = now - wroteAgo + wroteAgo>>20 // the age is a float: keep its rounding on the safe side
-		} else if g.writeAgeCarried { // else only the primary will do
+		if g.writeAgeCarried && writeAge > 0 {
+			o.minPosition = now - writeAge + writeAge>>20 // the age was a float: rounding errors must not make the mark older
+		} else if g.writeAgeCarried { // without the age only the primary is sure to have the write
 			o.minPosition = LongPast
 		}
 	case Bounded:
@@ -207,7 +297,7 @@
 	g.place(now, o)
 }
 
-// probeLongestUnprobed probes the member that was looked at the longest ago, where only probes tell positions.
+// probeLongestUnprobed probes the member whose last probe is the oldest. It is used where only probes tell positions.
 func (g *Gateway) probeLongestUnprobed(now time.Duration, gr *group) {
 	s := &server{nextProbeAt: never}
 	for _, m := range gr.members {
@@ -218,7 +308,7 @@
 	g.probe(now, s)
 }
 
-// probe spends one probe of the ration, where that is allowed.
+// probe probes a server if that is allowed, it is due and the probe budget has room.
 func (g *Gateway) probe(now time.Duration, s *server) {
 	if g.mayProbe && s.state == Ready && now >= s.nextProbeAt && g.probeBudget >= 1 {
 		g.probeBudget--
@@ -227,40 +317,43 @@
 	}
 }
 
-// expectRetry notes that the client of an op that ended unanswered will likely ask again.
-func (g *Gateway) expectRetry(now time.Duration, o *op, comeBack time.Duration) {
-	o.endedAt, o.retryFrom = now, now+comeBack
+// expectRetry records that the client of an op that ended unanswered will likely retry it.
+func (g *Gateway) expectRetry(now time.Duration, o *op, retryAfter time.Duration) {
+	o.endedAt, o.retryFrom = now, now+retryAfter
 	g.expectedRetries = append(g.expectedRetries[max(0, len(g.expectedRetries)-maxExpectedRetries+1):], o)
 }
 
-// matchRetry counts an op's latency target from its client's first try. Where clients do not mark the
-// next, one of a session is known by it; any other comes as soon after that, or the time named, as ops do.
-func (g *Gateway) matchRetry(now time.Duration, o *op, again bool) {
+// matchRetry looks for an earlier try of an op, and if there is one counts the latency target from that. A marked
+// retry matches an expected one of the same op type, group and session. Where clients do not mark retries, an op with a
+// session is matched by these alone. One without a session must also arrive within the group's mean time between
+// ops after the earlier try ended, or after the time that its busy reply named.
+func (g *Gateway) matchRetry(now time.Duration, o *op, isRetry bool) {
 	gap, found := o.opType.meanArrivalGap*time.Duration(len(g.groupOrder)), false
-	if again {
+	if isRetry {
 		o.targetEnd = now + o.opType.Target/holdDivisor
 	}
 	g.expectedRetries = slices.DeleteFunc(g.expectedRetries, func(e *op) bool {
-		is := !found && now < e.retriesEnd && e.opType == o.opType && e.group == o.group && e.session == o.session &&
-			(again || !g.retriesMarked && (e.session != 0 || now < e.endedAt+gap ||
+		matches := !found && now < e.retriesEnd && e.opType == o.opType && e.group == o.group && e.session == o.session &&
+			(isRetry || !g.retriesMarked && (e.session != 0 || now < e.endedAt+gap ||
 				now >= e.retryFrom && now < e.retryFrom+min(gap, g.shortWait)))
-		if is {
+		if matches {
 			found, o.targetEnd, o.retriesEnd = true, e.targetEnd, e.retriesEnd
-			// A client that left while its op was worked on waits for less than the op takes: it would do so again.
+			// A client that left while a server worked on its op waits for less than the op takes, and would leave again.
 			if e.sends > 0 && e.endedAt < e.targetEnd && e.endedAt-e.sentAt > e.opType.meanAnswerTime()/2 {
 				o.targetEnd = now
 			}
 		}
-		return is || now >= e.retriesEnd
+		return matches || now >= e.retriesEnd
 	})
 }
 
-// Answer is called once for each send, when it has ended.
-func (g *Gateway) Answer(now time.Duration, id uint32, number uint8, at uint32, result Result,
+// Answer handles the end of a send and is called once for each. number counts the op's sends from 0. final tells that
+// the op has ended with this answer. role and pos are what the server told of itself with its answer.
+func (g *Gateway) Answer(now time.Duration, id uint32, number uint8, serverID uint32, result Result,
 	took time.Duration, final bool, role Role, pos time.Duration) {
 	g.detectStall(now)
-	s, o := g.servers[at], g.ops[id]
-	if s != nil { // a claim of being primary may be as old as what it answers
+	s, o := g.servers[serverID], g.ops[id]
+	if s != nil { // a claim of being the primary may be as old as the send that it answers
 		g.updateRoleAndPosition(now, s, role, pos, now-map[bool]time.Duration{true: took}[role == Primary])
 	}
 	if o == nil || o.sentTo == nil || int(number) != o.sends-1 {
@@ -274,9 +367,9 @@
 	}
 	s.group.openSends--
 	if !neverRan && g.capacityShare(now-g.overloadTime, s) >= 1 {
-		g.warmWork += float64(o.opType.meanAnswerTime()) // what is turned away does not show what a server takes
+		g.warmWork += float64(o.opType.meanAnswerTime()) // an op that was turned away does not show what the server can take
 	}
-	// An error of a second server too is the op's own fault, unless one of the two is in doubt itself.
+	// An error from a second server shows that the op is at fault, unless one of the two is in backoff itself.
 	e := o.firstErrorFrom
 	o.failsEverywhere = result == ServerError && e != nil && e != s && e.backoff == 0 && s.backoff == 0
 	g.assessResult(now, s, o, result, took)
@@ -289,7 +382,8 @@
 	g.placeHeld(now, s.group)
 }
 
-// detectStall notices by the timers that the gateway itself stood still: it is no servers' fault, waits begin anew.
+// detectStall notices from a missing timer event that the gateway process itself stood still. That is no fault of any
+// server, so all waits are counted anew.
 func (g *Gateway) detectStall(now time.Duration) {
 	if now-g.lastTimerAt > stallTicks*g.tick && now > g.stallNoticedAt {
 		g.stallNoticedAt = now
@@ -299,7 +393,7 @@
 	}
 }
 
-// ClientGone is called when a client has left: no answer is owed any more.
+// ClientGone handles the departure of a client, which needs no answer to its op any more.
 func (g *Gateway) ClientGone(now time.Duration, id uint32) {
 	if o := g.ops[id]; o != nil && !o.done {
 		g.expectRetry(now, o, 0)
@@ -307,14 +401,14 @@
 	}
 }
 
-// Stop is called when the process is about to end: what is held is given up while that can be told.
+// Stop gives up all ops before the process ends, while their clients can still be answered.
 func (g *Gateway) Stop(now time.Duration) {
 	for _, o := range g.ops {
 		g.giveUp(now, o)
 	}
 }
 
-// closeOp closes an op. What is still out is called back: queued work may yet be saved.
+// closeOp closes an op. Its open send is cancelled, which saves the work if the server still has it in a queue.
 func (g *Gateway) closeOp(o *op) {
 	o.done = true
 	o.removeFromHeld()
@@ -325,13 +419,14 @@
 	}
 }
 
-// giveUp ends an op at once. Rule 2: the busy reply, which invites another try, only where that is harmless.
+// giveUp ends an op at once with a busy reply or an error. The busy reply invites another try. Rule 2, which forbids
+// double effects, therefore allows it only for an op that cannot have run or that may run again.
 func (g *Gateway) giveUp(now time.Duration, o *op) {
 	if t := o.opType; o.mayHaveRunAt == never || t.Effect == Retryable || t.Effect == Tokened && t.Scope == ScopeAll {
-		back := min(g.maxRetryAfter, map[bool]time.Duration{true: t.Target, false: t.Timeout}[t.LateValue > 0])
-		g.host.BusyReply(o.id, back) // what earns nothing late need not come back before its op timeout
+		retryAfter := min(g.maxRetryAfter, map[bool]time.Duration{true: t.Target, false: t.Timeout}[t.LateValue > 0])
+		g.host.BusyReply(o.id, retryAfter) // without a late value, a retry is of no use before the op timeout
 		if !o.failsEverywhere {
-			g.expectRetry(now, o, back)
+			g.expectRetry(now, o, retryAfter)
 		}
 	} else {
 		g.host.Error(o.id)
@@ -339,7 +434,7 @@
 	g.closeOp(o)
 }
 
-// latestUsefulSend is the latest time at which sending an op can still earn anything.
+// latestUsefulSend returns the latest time at which sending the op can still earn any of its value.
 func (g *Gateway) latestUsefulSend(o *op) time.Duration {
 	end := o.targetEnd
 	if o.opType.LateValue > 0 {
@@ -348,7 +443,8 @@
 	return min(min(end, o.clientLeavesAt)-o.opType.meanAnswerTime(), o.clientLeavesAt-2*g.tick)
 }
 
-// place sends an op where the design wants it, holds it, or gives it up.
+// place sends an op to a server that is fit for it, holds it if there is none now, or gives it up if a send can no
+// longer be useful or is no longer allowed.
 func (g *Gateway) place(now time.Duration, o *op) {
 	if o.failsEverywhere || now >= min(g.latestUsefulSend(o), g.latestAllowedSend(o)) || len(o.group.members) == 0 {
 		g.giveUp(now, o)
@@ -365,39 +461,45 @@
 	}
 }
 
+// removeFromHeld takes an op off its group's list of held ops.
 func (o *op) removeFromHeld() {
 	o.held = false
 	o.group.held = slices.DeleteFunc(o.group.held, func(p *op) bool { return p == o })
 }
 
+// placeHeld tries to place the held ops of a group, the most valuable first.
 func (g *Gateway) placeHeld(now time.Duration, gr *group) {
 	for _, o := range slices.Clone(gr.held) {
 		g.place(now, o)
 	}
 }
 
-// chooseServer follows the design: writes and fresh reads go home to the primary, other reads rotate over
-// replicas that are fresh enough; session and bounded reads wait a little for one, then go home.
+// chooseServer returns the server that an op is to be sent to now, or nil. Writes and fresh reads go to the primary;
+// while that is unknown or failing, a write is tried at the members of the group one after the other. Other reads
+// rotate over the replicas known to be fresh enough. If there is none and servers check reads themselves, the most
+// advanced replica is tried, until a server has declined the read. A read for which this finds no replica is held until
+// its holdEnd, a session read for a quarter of its latency target, and is then sent to the primary.
 func (g *Gateway) chooseServer(now time.Duration, o *op) (s *server) {
-	home := o.group.primary
+	primary := o.group.primary
 	switch {
-	case o.opType.Need == Write && (!home.usable() || home.backoff > g.shortWait):
+	case o.opType.Need == Write && (!primary.usable() || primary.backoff > g.shortWait):
 		return g.primaryCandidate(now, o)
 	case o.opType.Need == Write || o.opType.Need == Fresh:
-		return g.ifRoom(now, home, o)
+		return g.ifRoom(now, primary, o)
 	}
 	if s = g.nextReplica(now, o, o.requiredPosition(now)); s == nil && g.replicasCheck && !o.declined {
 		s = g.mostAdvancedReplica(now, o)
 	}
 	if s == nil && now >= o.holdEnd {
-		s = g.ifRoom(now, home, o)
+		s = g.ifRoom(now, primary, o)
 	}
 	return s
 }
 
 func (s *server) usable() bool { return s != nil && s.state == Ready && s.probesNeeded == 0 }
 
-// congestion is how late primaries, or replicas, of a kind of machine are: one may answer too seldom to tell.
+// congestion returns the congestion level of the primaries, or of the replicas, on the server's kind of machine. It is
+// kept for all of them together, as a single server may answer too seldom to tell.
 func (g *Gateway) congestion(s *server) *float64 {
 	if s == s.group.primary {
 		return &g.primaryCongestion[s.machineKind]
@@ -405,16 +507,19 @@
 	return &g.replicaCongestion[s.machineKind]
 }
 
-// ifRoom returns the server if it can take the op now: not one that erred on it before, unless that is home.
+// ifRoom returns the server if it can take the op now, else nil. One that answered the op with an error before
+// cannot take it, unless it is the primary.
 func (g *Gateway) ifRoom(now time.Duration, s *server, o *op) *server {
 	if !s.usable() || now < s.backoffEnd || s == o.firstErrorFrom && s != s.group.primary ||
-		float64(s.countOpenSends(now)) >= s.limit || o.admissionDraw > min(s.limit, math.Pow(limitDecrease, *g.congestion(s))) {
+		float64(s.countOpenSends(now)) >= s.limit ||
+		o.admissionDraw > min(s.limit, math.Pow(limitDecrease, *g.congestion(s))) {
 		return nil
 	}
 	return s
 }
 
-// estimatedPosition is a server's told position; one that checks reads is taken to be as far behind as it last was.
+// estimatedPosition returns a server's position. Servers that check reads are assumed to lag as much as they last did,
+// as a wrong estimate does no harm there; else the newest position known counts.
 func (g *Gateway) estimatedPosition(now time.Duration, s *server) time.Duration {
 	if g.replicasCheck {
 		return now - s.lag
@@ -422,22 +527,23 @@
 	return s.position
 }
 
-// nextReplica takes the next replica in turn that reaches want, passing over those overdue while there are others.
-func (g *Gateway) nextReplica(now time.Duration, o *op, want time.Duration) (best *server) {
+// nextReplica returns the next replica, by smooth weighted round robin, that has room and has reached minPosition.
+// Replicas with overdue answers are chosen only if there is no other.
+func (g *Gateway) nextReplica(now time.Duration, o *op, minPosition time.Duration) (best *server) {
 	total, overdue := 0.0, true
 	for _, s := range o.group.members {
-		if s == o.group.primary || g.estimatedPosition(now, s) < want || g.ifRoom(now, s, o) == nil ||
+		if s == o.group.primary || g.estimatedPosition(now, s) < minPosition || g.ifRoom(now, s, o) == nil ||
 			!overdue && s.overdue(now) {
 			continue
 		}
 		if overdue && !s.overdue(now) {
 			best, total, overdue = nil, 0, false
 		}
-		w := s.weight * g.capacityShare(now, s)
+		weight := s.weight * g.capacityShare(now, s)
 		if g.weightReduced(s) {
-			w /= rumouredWeightDivisor
+			weight /= rumouredWeightDivisor
 		}
-		s.credit, total = s.credit+w, total+w
+		s.credit, total = s.credit+weight, total+weight
 		if best == nil || s.credit > best.credit {
 			best = s
 		}
@@ -448,7 +554,7 @@
 	return best
 }
 
-// mostAdvancedReplica is the replica with room that is mostAdvancedReplica ahead.
+// mostAdvancedReplica returns the replica with room whose estimated position is the newest.
 func (g *Gateway) mostAdvancedReplica(now time.Duration, o *op) (best *server) {
 	for _, s := range o.group.members {
 		if s != o.group.primary && g.ifRoom(now, s, o) != nil &&
@@ -459,7 +565,8 @@
 	return best
 }
 
-// primaryCandidate finds a member to try a write on while the primary is unknown, in id order. It keeps one send back.
+// primaryCandidate returns the member to try a write at while the primary is unknown or failing, in id order. One of
+// the op's sends is kept back for the primary.
 func (g *Gateway) primaryCandidate(now time.Duration, o *op) *server {
 	for _, s := range o.group.members {
 		if o.sends < g.maxSends-1 && g.ifRoom(now, s, o) != nil && !s.overdue(now) &&
@@ -470,7 +577,9 @@
 	return nil
 }
 
-// latestAllowedSend is rule 2: until when an op may be sent. A zone that drops repeats may not hold all of a group.
+// latestAllowedSend returns until when an op may be sent under rule 2: no double effect. An op that may have run is
+// sent again only if it is retryable, or if it is tokened and servers still drop repeats. With tokens of zone scope it
+// is not sent again at all, as a zone need not hold all servers of a group.
 func (g *Gateway) latestAllowedSend(o *op) time.Duration {
 	if o.sends < g.maxSends && (o.mayHaveRunAt == never || o.opType.Effect == Retryable) {
 		return never
@@ -480,43 +589,49 @@
 	return LongPast
 }
 
-// send is the gate that every send passes; each rule on sending is enforced here and nowhere else.
+// send sends an op to a server if all rules allow it, and returns whether it did. Every send passes through here, and
+// each rule on sending is enforced here and nowhere else.
 func (g *Gateway) send(now time.Duration, o *op, s *server) bool {
-	by, fit := g.latestAllowedSend(o), s == o.group.primary || o.opType.Need == Write || g.replicasCheck
-	if !fit && o.opType.Need == Bounded { // rule 5, also when it begins: what is known of the server grows old
-		by = min(by, s.position+o.opType.Bound)
-	}
-	if o.done || o.sentTo != nil || now >= by || // rules 1 and 2
-		s.state != Ready || s.group != o.group || // rule 3, with no use of the grace
-		!fit && s.position < o.requiredPosition(now) || !g.coldLimitAllows(now, o, s) { // rules 5 and 4
+	beginBy, freshEnough := g.latestAllowedSend(o), s == o.group.primary || o.opType.Need == Write || g.replicasCheck
+	if !freshEnough && o.opType.Need == Bounded { // rule 5: the bound must still hold when the send begins
+		beginBy = min(beginBy, s.position+o.opType.Bound)
+	}
+	if o.done || o.sentTo != nil || now >= beginBy || // rules 1 and 2: one final answer, no double effect
+		s.state != Ready || s.group != o.group || // rule 3: nothing new to a draining or gone server, even in its grace time
+		!freshEnough && s.position < o.requiredPosition(now) || // rule 5: no data older than the op type allows
+		!g.coldLimitAllows(now, o, s) { // rule 4: a cold server never gets more than its multiple
 		return false
 	}
 	o.sentTo, o.sentAt, o.waitStart, o.mayHaveRunAt = s, now, now, min(o.mayHaveRunAt, now)
 	o.sends++
 	s.group.openSends++
 	s.openSends = append(s.openSends, o)
-	g.host.Send(o.id, s.id, by) // it may wait for a connection
+	g.host.Send(o.id, s.id, beginBy) // it may wait for a connection
 	return true
 }
 
-// capacityShare is the least share of its capacity that a server can have by now.
+// capacityShare returns the least share of its full capacity that a server has at a time of its warm-up.
 func (g *Gateway) capacityShare(now time.Duration, s *server) float64 {
 	return min(1, g.coldCapacityShare+(1-g.coldCapacityShare)*max(0, float64(now-s.warmUpStart)/float64(g.warmUpTime)))
 }
 
-// coldLimitAllows is rule 4: a cold server is sent a cautious part of the stated multiple of its worst case, by
-// what warm ones take, or of what it acked of late. It begins below zero by chance: gateways may be many.
+// coldLimitAllows enforces rule 4: a cold server never gets more than the stated multiple of its present capacity, as
+// it would fall over. The capacity is estimated from the work that a warm server takes, scaled by the least share of it
+// that the server can have by now, or from what the server acked recently if that is more. The work is rationed by a
+// token bucket that starts at a random level below zero, as the first sends of many gateways would add up to an
+// overload.
 func (g *Gateway) coldLimitAllows(now time.Duration, o *op, s *server) bool {
-	work, r := float64(o.opType.meanAnswerTime()), g.capacityShare(now-g.overloadTime, s)
-	if r >= 1 {
+	work, share := float64(o.opType.meanAnswerTime()), g.capacityShare(now-g.overloadTime, s)
+	if share >= 1 {
 		return true
 	} else if s.allowanceUpdatedAt < s.warmUpStart {
-		s.coldAllowance, s.ackedWork, s.allowanceUpdatedAt = -g.random()*work, 0, max(s.warmUpStart, now-g.overloadTime/coldBurstDivisor)
+		s.coldAllowance, s.ackedWork, s.allowanceUpdatedAt = -g.random()*work, 0,
+			max(s.warmUpStart, now-g.overloadTime/coldBurstDivisor)
 	}
-	since, over := float64(now-s.allowanceUpdatedAt), float64(g.overloadTime)
-	s.ackedWork *= math.Exp(-since / over)
-	rate := max(g.warmRate*r, s.ackedWork/over) * g.overloadFactor * coldSafetyFactor
-	s.coldAllowance, s.allowanceUpdatedAt = min(s.coldAllowance+rate*since, rate*over/coldBurstDivisor), now
+	elapsed, window := float64(now-s.allowanceUpdatedAt), float64(g.overloadTime)
+	s.ackedWork *= math.Exp(-elapsed / window)
+	rate := max(g.warmRate*share, s.ackedWork/window) * g.overloadFactor * coldSafetyFactor
+	s.coldAllowance, s.allowanceUpdatedAt = min(s.coldAllowance+rate*elapsed, rate*window/coldBurstDivisor), now
 	if s.coldAllowance >= 0 {
 		s.coldAllowance -= work
 		return true
@@ -524,28 +639,29 @@
 	return false
 }
 
-// random draws from 0 to 1; the same seed and the same events give the same draws.
+// random returns a random number in [0, 1). The same seed and the same events give the same numbers.
 func (g *Gateway) random() float64 {
 	g.randomDraws++
 	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, g.seed), g.randomDraws)
 	return float64(crc32.ChecksumIEEE(b)) / (1 << 32)
 }
 
-// updateRoleAndPosition takes in role and position; at dates the evidence, or a primary's position, as that is the present.
-func (g *Gateway) updateRoleAndPosition(now time.Duration, s *server, role Role, pos, at time.Duration) {
+// updateRoleAndPosition takes in what a server told of itself. asOf is the time of the evidence for its role. A
+// primary's position is the present, so it replaces asOf.
+func (g *Gateway) updateRoleAndPosition(now time.Duration, s *server, role Role, pos, asOf time.Duration) {
 	if pos != LongPast {
 		s.position, s.lag = max(s.position, pos), now-max(s.position, pos)
 	}
 	if role == Primary && pos != LongPast {
-		at = pos
+		asOf = pos
 	}
-	if role == RoleUnknown || at < s.roleAsOf {
+	if role == RoleUnknown || asOf < s.roleAsOf {
 		return
 	}
-	s.role, s.roleAsOf = role, at
-	if p := s.group.primary; role == Primary && p != s && (p == nil || at >= p.roleAsOf) {
+	s.role, s.roleAsOf = role, asOf
+	if p := s.group.primary; role == Primary && p != s && (p == nil || asOf >= p.roleAsOf) {
 		if s.group.primary = s; p != nil {
-			g.host.Withdraw(p.id) // rule 5: what has not begun there was for a primary
+			g.host.Withdraw(p.id) // rule 5: sends that have not begun there were meant for a primary
 		}
 		g.host.Log("primary found")
 	} else if role == Replica && p == s {
@@ -554,53 +670,56 @@
 	}
 }
 
-// Report is called before the answer that brought the report; its position is the time that it speaks of.
-// Where nothing else keeps rule 5, a server that says that it is a replica is one from then on.
+// Report handles a server's report of its role and position. It is called before the answer that brought the report.
+// The position is also the time as of which the report speaks. A report of being a replica counts as of its arrival,
+// however, if servers do not check reads themselves: rule 5, no data older than the op type allows, then rests on the
+// gateway knowing who is not the primary.
 func (g *Gateway) Report(now time.Duration, id uint32, role Role, pos time.Duration) {
 	if s := g.servers[id]; s != nil && (pos == LongPast || role == Replica && !g.replicasCheck) {
 		g.updateRoleAndPosition(now, s, role, pos, now)
 	} else if s != nil {
-		if g.updateRoleAndPosition(now, s, role, pos, pos); role == Primary { // it stands at the present: the rest is age
+		if g.updateRoleAndPosition(now, s, role, pos, pos); role == Primary {
+			// A primary's position is the present, so the difference is the age of the report.
 			g.reportAge += (now - pos - g.reportAge) / averagingSamples
 		}
 		s.lag = max(0, s.lag-2*g.reportAge)
 	}
 }
 
-// markLost notes that nobody was there. Members of a group may start again together: where two are markLost and
-// no member has been heard of since the first, all are taken to be markLost.
+// markLost records that a server was not running. Members of a group may restart together: if two were lost and no
+// member has been heard of since the first, all are assumed to have been lost.
 func (g *Gateway) markLost(now time.Duration, s *server) {
-	first, heard := never, LongPast
+	firstLost, lastHeard := never, LongPast
 	for _, m := range s.group.members {
-		first, heard = min(first, m.lostAt), max(heard, m.lastHeardAt)
+		firstLost, lastHeard = min(firstLost, m.lostAt), max(lastHeard, m.lastHeardAt)
 	}
 	if s.lostAt < never {
 		return
-	} else if s.lostAt = now; heard < first && first < never {
+	} else if s.lostAt = now; lastHeard < firstLost && firstLost < never {
 		for _, m := range s.group.members {
 			m.lostAt = min(m.lostAt, now)
 		}
 	}
 }
 
-// markAlive takes in an answer to what was sent at a time. Where nobody had been there, the server has likely
-// started again: it counts as cold until the list, which is late, says when, or it has had time to warm up.
-func (g *Gateway) markAlive(now time.Duration, s *server, at time.Duration) {
+// markAlive records that a server answered what was sent at sentAt. If it had been lost, it has likely restarted: it
+// counts as cold until the list, which is late, gives its start, or it has had time to warm up.
+func (g *Gateway) markAlive(now time.Duration, s *server, sentAt time.Duration) {
 	if s.lostAt < never {
 		s.lostAt, s.warmUpStart = never, now
 	}
-	s.lastHeardAt, s.aliveAsOf = now, max(s.aliveAsOf, at)
+	s.lastHeardAt, s.aliveAsOf = now, max(s.aliveAsOf, sentAt)
 }
 
-// assessResult draws from one result what it says of a server's health and of how much it takes.
+// assessResult updates a server's health and its limit of open sends from one result.
 func (g *Gateway) assessResult(now time.Duration, s *server, o *op, result Result, took time.Duration) {
 	slow := took > o.opType.Target/queueingDivisor
 	switch result {
 	case Acked, Miss, ServerFull, ServerError:
 		g.markAlive(now, s, o.sentAt)
-	case Reset: // a bad way or a dead process, no lack of connections
+	case Reset: // a bad network path or a dead process, not a lack of connections
 		g.lastResetAt, g.connShortageEnd = now, LongPast
-	case NoConnection: // at once, with no reset of late: connections are scarce, so none is left open unused
+	case NoConnection: // immediate, without a recent reset: connections are scarce, so idle ones are closed
 		if took < g.shortWait && now-g.lastResetAt > connShortageWaits*g.shortWait {
 			g.connShortageEnd = now + connShortageWaits*g.shortWait
 		}
@@ -612,21 +731,23 @@
 	case result == Acked:
 		s.backoff = 0
 		if e := o.firstErrorFrom; e != nil && e != s && e != e.group.primary {
-			g.backOff(now, e, Failing, false) // a primary that fails some is still the only one for writes
+			g.backOff(now, e, Failing, false) // a primary that fails some ops is still the only server for writes
 		}
 	case result == ServerError && o.firstErrorFrom == nil:
-		o.firstErrorFrom = s // its own fault, or the op's: another server's answer will tell
+		o.firstErrorFrom = s // the fault is the server's or the op's; another server's answer will tell which
 	case result == ServerFull:
-		g.backOff(now, s, NoTrouble, false) // it has much to do, which is no trouble of its own
+		g.backOff(now, s, NoTrouble, false) // a full server has much to do, which is not a trouble to report
 	case result == NoConnection, result == Reset:
-		if result == NoConnection && s.backoff > 0 && o.sentAt >= s.aliveAsOf { // a reset may be the connection alone
+		if result == NoConnection && s.backoff > 0 && o.sentAt >= s.aliveAsOf { // a reset may concern the connection alone
 			g.markLost(now, s)
 		}
 		g.backOff(now, s, Unreachable, false)
 	}
-	lost := result != TimedOut || o.sentAt < s.aliveAsOf
-	if result != Acked && result != ServerFull && lost || now == g.stallNoticedAt {
-		return // after an own pause nobody knows how late an answer came; what was overtaken may be lost, not late
+	noEvidence := result != TimedOut || o.sentAt < s.aliveAsOf
+	// A send that timed out although a later one was answered may have been lost rather than late. After a stall of the
+	// gateway nobody knows how late an answer came.
+	if result != Acked && result != ServerFull && noEvidence || now == g.stallNoticedAt {
+		return
 	}
 	if result == Acked {
 		o.opType.answerTimes.add(took, o.opType.Target)
@@ -634,10 +755,11 @@
 		if slow && now-s.limitDecreasedAt > took {
 			s.limit, s.limitDecreasedAt = max(s.limit*limitDecrease, min(s.limit, 1)), now
 		} else if !slow && s.limit >= 1 {
-			s.limit += 1 / (s.limit * g.gatewayCount) // all gateways together try one send more
+			s.limit += 1 / (s.limit * g.gatewayCount) // all gateways together allow about one more open send per round
 		}
 	}
-	// A limit that can shrink, or did at the last answer, goes before: one bad server is not all of them.
+	// The server's own limit is reduced first. Only an answer that finds it at 1 raises the congestion level, so that one
+	// bad server does not count for all of its kind.
 	if late := took > o.opType.Target/2 || result == ServerFull; late && s.limit <= 1 {
 		if s.limit == 1 {
 			*g.congestion(s) = min(*g.congestion(s)+1, maxCongestion)
@@ -652,33 +774,35 @@
 	}
 }
 
-// backOff passes a server over, twice as long for each trouble since it last acked. At a second, or if sure, it
-// is set aside until it answers probes: no primary, as writes have no other place; half of a group at most.
-func (g *Gateway) backOff(now time.Duration, s *server, why Trouble, sure bool) {
-	if why != NoTrouble {
-		g.reportTrouble(s, why)
+// backOff avoids a server for a backoff that doubles with each trouble since its last ack. At the second trouble, or at
+// the first if rumours have reached rumourThreshold, the server is set aside: it is not used until it has answered
+// probes. A primary is set aside only if the caller is certain, as writes have no other place. At most half of a group
+// is set aside.
+func (g *Gateway) backOff(now time.Duration, s *server, trouble Trouble, certain bool) {
+	if trouble != NoTrouble {
+		g.reportTrouble(s, trouble)
 	}
 	if now < s.backoffEnd {
 		return
 	}
-	sure = sure || (s.backoff > 0 || s.rumour >= rumourThreshold) && s != s.group.primary
+	certain = certain || (s.backoff > 0 || s.rumour >= rumourThreshold) && s != s.group.primary
 	s.backoff = min(max(2*s.backoff, g.shortWait/4), maxBackoffWaits*g.shortWait)
 	s.backoffEnd = now + s.backoff
-	aside := 1
+	setAside := 1
 	for _, m := range s.group.members {
 		if m.probesNeeded > 0 && m.backoff > 0 {
-			aside++
+			setAside++
 		}
 	}
 	if s.probesNeeded > 0 {
 		s.probesNeeded = probesToReturn
-	} else if g.mayProbe && sure && 2*aside <= len(s.group.members) {
+	} else if g.mayProbe && certain && 2*setAside <= len(s.group.members) {
 		s.probesNeeded, s.nextProbeAt = probesToReturn, s.backoffEnd
 		g.host.Log("server set aside")
 	}
 }
 
-// reportTrouble lets the host know what this gateway has seen of a server by itself, and once that it has ended.
+// reportTrouble tells the host what this gateway itself has seen of a server, and once that the trouble has ended.
 func (g *Gateway) reportTrouble(s *server, t Trouble) {
 	if s.trouble != t || t != NoTrouble {
 		s.trouble = t
@@ -686,8 +810,9 @@
 	}
 }
 
-// Rumour is called with how many others, weighed, say that a server is in trouble. By itself it spends a
-// probe, makes an own first symptom the second and a turn smaller, and has a failed list asked for sooner.
+// Rumour handles a change of the weighted number of other gateways that report a server to be in trouble. From
+// rumourThreshold on, a rumour spends a probe on the server, lets the first symptom that this gateway sees count as the
+// second, reduces the server's weight in the rotation, and has a list that failed requested at once.
 func (g *Gateway) Rumour(now time.Duration, id uint32, weight float64) {
 	s := g.servers[id]
 	if s == nil {
@@ -700,21 +825,23 @@
 	s.rumour = weight
 }
 
-// weightReduced tells whether others say so much of a replica, and of no more than a third, that its turn is smaller.
+// weightReduced reports whether a replica's weight is reduced for the rumours about it. That needs more of them while
+// replicas are congested, and applies to at most a third of the replicas in use, those with the most rumours.
 func (g *Gateway) weightReduced(s *server) bool {
-	said, inUse := 0, 0
+	rumoured, inUse := 0, 0
 	for _, m := range s.group.members {
 		if m.usable() && m != s.group.primary {
 			inUse++
 			if m.rumour > s.rumour || m.rumour == s.rumour && m.id <= s.id {
-				said++
+				rumoured++
 			}
 		}
 	}
-	return s.rumour >= rumourThreshold*(1+*g.congestion(s)) && rumouredReplicasDivisor*said <= inUse
+	return s.rumour >= rumourThreshold*(1+*g.congestion(s)) && rumouredReplicasDivisor*rumoured <= inUse
 }
 
-// countOpenSends counts what a server still works on, as far as can be told: not what was overtaken and is overdue.
+// countOpenSends counts the sends that a server presumably still works on. A send that is overdue although the server
+// answered a later one is presumed lost.
 func (s *server) countOpenSends(now time.Duration) (n int) {
 	for _, o := range s.openSends {
 		if o.sentAt >= s.aliveAsOf || now-o.waitStart <= overdueFactor*o.opType.meanAnswerTime() {
@@ -724,35 +851,40 @@
 	return n
 }
 
-// overdue tells whether a server owes an answer for longer than its op type's answers take.
+// overdue reports whether a server has owed an answer for longer than overdueFactor mean answer times of its op type.
 func (s *server) overdue(now time.Duration) bool {
-	return slices.ContainsFunc(s.openSends, func(o *op) bool { return now-o.waitStart > overdueFactor*o.opType.meanAnswerTime() })
+	return slices.ContainsFunc(s.openSends, func(o *op) bool {
+		return now-o.waitStart > overdueFactor*o.opType.meanAnswerTime()
+	})
 }
 
-// silent tells whether a server, and not just a connection, is quieter than chance explains.
-func (s *server) silent(now time.Duration, least float64) bool {
-	sum, longest := 0.0, 0.0
+// silent reports whether a server, and not just one connection, has been quiet for longer than chance explains. It sums
+// the waits since the server was last heard of, in mean answer times, over the sends that no answer has overtaken.
+// The sum must exceed minSum and the longest wait overdueFactor.
+func (s *server) silent(now time.Duration, minSum float64) bool {
+	sum, longestWait := 0.0, 0.0
 	for _, o := range s.openSends {
 		if o.sentAt >= s.aliveAsOf {
 			wait := float64(now-max(o.waitStart, s.lastHeardAt)) / float64(o.opType.meanAnswerTime())
-			sum, longest = sum+wait, max(longest, wait)
+			sum, longestWait = sum+wait, max(longestWait, wait)
 		}
 	}
-	return sum > least && longest > overdueFactor
+	return sum > minSum && longestWait > overdueFactor
 }
 
-// cancelLostSends ends sends out for so long that they must be lost, where the op may be sent again in time.
+// cancelLostSends cancels sends that have been out for so long that they must be lost, if there is time to send the op
+// again and it may be.
 func (g *Gateway) cancelLostSends(now time.Duration, s *server) {
 	for _, o := range s.openSends {
-		lost := time.Duration(lostFactor*o.sends) * o.opType.meanAnswerTime()
-		if g.mayCancel && !o.done && now-o.waitStart > lost && now < min(g.latestUsefulSend(o), g.latestAllowedSend(o)) {
+		lostAfter := time.Duration(lostFactor*o.sends) * o.opType.meanAnswerTime()
+		if g.mayCancel && !o.done && now-o.waitStart > lostAfter && now < min(g.latestUsefulSend(o), g.latestAllowedSend(o)) {
 			o.waitStart = now
 			g.host.Cancel(o.id, uint8(o.sends-1))
 		}
 	}
 }
 
-// ProbeAnswer is called once for each probe.
+// ProbeAnswer handles the end of a probe and is called once for each.
 func (g *Gateway) ProbeAnswer(now time.Duration, id uint32, result Result, took time.Duration) {
 	s := g.servers[id]
 	if s == nil {
@@ -762,17 +894,18 @@
 	if result == NoConnection || result == Reset || result == TimedOut {
 		g.markLost(now, s)
 		g.backOff(now, s, Unreachable, false)
-	} else if result != NotSent { // an error is an answer too: probes may fail at servers that serve
+	} else if result != NotSent { // an error is an answer too, as probes may fail at servers that serve ops
 		s.probesNeeded = max(0, s.probesNeeded-1)
 		g.markAlive(now, s, now-took)
 	}
 	s.nextProbeAt = now + max(s.backoff, g.shortWait)
 }
 
-// List is called with the server list as the host last held it, in full, or with changes to it.
+// List handles the server list: as the host last cached it, in full, or changes to it, or the failure to get it.
 func (g *Gateway) List(now time.Duration, scope ListScope, listed []Listed) {
 	if scope == ListFailed {
-		g.nextListRequest = now + time.Duration((1+g.random())/2*float64(g.listBackoff)) // not in step with others
+		// Half of the wait is random, so that gateways that failed together do not ask together.
+		g.nextListRequest = now + time.Duration((1+g.random())/2*float64(g.listBackoff))
 		g.listBackoff = min(2*g.listBackoff, g.maxListBackoff)
 		return
 	} else if scope != ListCached {
@@ -790,6 +923,7 @@
 	}
 }
 
+// updateServer takes in what the list says of one server.
 func (g *Gateway) updateServer(now time.Duration, l *Listed) {
 	s := g.servers[l.ID]
 	if s == nil {
@@ -798,31 +932,34 @@
 			g.groupOrder = append(g.groupOrder, g.groups[l.Group])
 		}
 		s = &server{id: l.ID, group: g.groups[l.Group], listedStart: l.Started - 1, position: LongPast, roleAsOf: LongPast,
-			lastHeardAt: LongPast, aliveAsOf: LongPast, allowanceUpdatedAt: LongPast, credit: g.random() * (1/g.gatewayCount - 1)}
+			lastHeardAt: LongPast, aliveAsOf: LongPast, allowanceUpdatedAt: LongPast,
+			credit: g.random() * (1/g.gatewayCount - 1)}
 		g.servers[l.ID] = s
 		s.group.members = append(s.group.members, s)
 		slices.SortFunc(s.group.members, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
 	}
-	again := s.listedStart != l.Started // it has started again: what was known of it holds no more
-	if again {
+	restarted := s.listedStart != l.Started // a new or restarted server: what was known of it no longer holds
+	if restarted {
 		s.listedStart, s.warmUpStart, s.lostAt = l.Started, l.Started, never
 		s.probesNeeded, s.limit = g.initialProbes, max(1, initialLimit/g.gatewayCount)
-		g.probeBudget++ // its first
+		g.probeBudget++ // for its first probe
 		g.reportTrouble(s, NoTrouble)
 	}
 	s.state, s.machineKind, s.weight = l.State, l.Kind, cmp.Or(float64(l.Weight), 1)
-	if again || s.state != Ready {
-		g.host.Withdraw(s.id) // rules 3 and 4: what has not begun was decided before this was known
+	if restarted || s.state != Ready {
+		// Sends that have not begun were decided on before this was known. Withdrawing them keeps rule 3, nothing new to a
+		// draining or gone server, and rule 4, no more to a cold server than its multiple.
+		g.host.Withdraw(s.id)
 		if s.group.primary == s {
 			s.group.primary = nil
 		}
 	}
-	if l.Primary && s.roleAsOf == LongPast { // the list is late: what the server has said itself counts before it
+	if l.Primary && s.roleAsOf == LongPast { // the list is late, so what the server itself has said counts more
 		g.updateRoleAndPosition(now, s, Primary, LongPast, LongPast)
 	}
 }
 
-// forgetIfGone drops a server that is gone once nothing of it is out.
+// forgetIfGone drops a server that is gone and has no open send or probe, and reports whether it did.
 func (g *Gateway) forgetIfGone(s *server) bool {
 	if s.state != Gone || len(s.openSends) > 0 || s.nextProbeAt == never {
 		return false
@@ -832,7 +969,8 @@
 	return true
 }
 
-// Timer is called when a timer that the gateway set has come due.
+// Timer handles a timer that the gateway set and that is due. It does the periodic work: list requests, probes, checks
+// for silent servers and lost sends, and held ops.
 func (g *Gateway) Timer(now time.Duration, id uint32) {
 	g.detectStall(now)
 	g.host.Timer(0, now+g.tick)
@@ -843,19 +981,20 @@
 	g.probeBudget = min(g.probeBudget, float64(sampleSize/4+len(g.servers)))
 	g.warmWork *= math.Exp(-float64(now-g.lastTimerAt) / float64(g.overloadTime))
 	g.lastTimerAt = now
-	all, warm := now-g.lastFullPassAt >= g.shortWait, 0.0
+	// A full pass over all groups happens once per short wait only, as there may be many.
+	allGroups, warmServers := now-g.lastFullPassAt >= g.shortWait, 0.0
 	for _, gr := range g.groupOrder {
-		if !all && gr.openSends == 0 && len(gr.held) == 0 { // looked at now and then only: a fleet may be large
+		if !allGroups && gr.openSends == 0 && len(gr.held) == 0 { // idle groups wait for the next full pass
 			continue
 		}
 		for _, s := range gr.members {
 			if s.usable() && g.capacityShare(now-g.overloadTime, s) >= 1 {
-				warm++
+				warmServers++
 			}
 			if s.silent(now, 2*overdueFactor) {
 				g.backOff(now, s, Silence, true)
 			} else if s.rumour >= rumourThreshold && s.silent(now, overdueFactor) {
-				g.backOff(now, s, NoTrouble, true) // not told: without the rumour it would be no symptom yet
+				g.backOff(now, s, NoTrouble, true) // not reported: without the rumour it would not be a symptom yet
 			}
 			g.cancelLostSends(now, s)
 			if s.probesNeeded > 0 {
@@ -865,9 +1004,9 @@
 		gr.members = slices.DeleteFunc(gr.members, g.forgetIfGone)
 		g.placeHeld(now, gr)
 	}
-	if all {
-		if g.lastFullPassAt = now; warm > 0 { // with no warm server left, what the last ones took still holds
-			g.warmRate = g.warmWork / float64(g.overloadTime) / warm
+	if allGroups {
+		if g.lastFullPassAt = now; warmServers > 0 { // with no warm server left, the rate of the last ones still holds
+			g.warmRate = g.warmWork / float64(g.overloadTime) / warmServers
 		}
 	}
 }
