--- a/choice/choice.go
+++ b/choice/choice.go
@@ -18,7 +18,8 @@
 	// queueingDivisor: an answer that took longer than the latency target divided by this shows queueing at the server.
 	queueingDivisor = 6
 
-	// limitDecrease is the factor by which such an answer reduces the limit of open sends at a server.
+	// limitDecrease is the factor by which such an answer reduces the limit of open sends at a server. Each congestion
+	// level reduces the share of admitted ops by the same factor.
 	limitDecrease = 0.8
 
 	// connShortageWaits is the time, in short waits, for which a shortage of connections is assumed to last.
@@ -28,13 +29,14 @@
 	stallTicks = 8
 
 	// congestionDecrease is what a timely answer takes off the congestion level, to which a late one adds 1.
-	// The level stays constant with about one late answer in four.
+	// The level stays constant with one late answer in four.
 	congestionDecrease = 1. / 2
 
 	// maxCongestion bounds the congestion level, so that the end of the congestion is noticed soon.
 	maxCongestion = 8
 
-	// initialLimit is the limit of open sends, of all gateways together, at a server of which nothing is known.
+	// initialLimit is the limit of open sends, of all gateways together, at a server of which nothing is known. Each
+	// gateway may have at least one.
 	initialLimit = 8
 
 	// sampleSize scales the samples of answer times: a histogram is halved when one of its bins holds half of
@@ -267,7 +269,7 @@
 }
 
 // Op handles a client's op that has come in. clientLeavesAt is the time at which its client stops waiting, writeAge the
-// age of the session's last write, 0 if it is not known. isRetry is true if the client marked the op as a retry.
+// age of the session's last write, 0 if the client told none. isRetry is true if the client marked the op as a retry.
 func (g *Gateway) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration,
 	groupID uint16, writeAge time.Duration, isRetry bool) {
 	g.detectStall(now)
@@ -280,8 +282,8 @@
 	switch t.Need {
 	case Session:
 		if g.writeAgeCarried && writeAge > 0 {
-			o.minPosition = now - writeAge + writeAge>>20 // the age was a float: rounding errors must not make the mark older
-		} else if g.writeAgeCarried { // without the age only the primary is sure to have the write
+			o.minPosition = now - writeAge + writeAge>>20 // the age was a float: keep its rounding on the safe side
+		} else if g.writeAgeCarried { // no write to see; where ages are not carried, only the primary is sure to have it
 			o.minPosition = LongPast
 		}
 	case Bounded:
@@ -325,8 +327,8 @@
 
 // matchRetry looks for an earlier try of an op, and if there is one counts the latency target from that. A marked
 // retry matches an expected one of the same op type, group and session. Where clients do not mark retries, an op with a
-// session is matched by these alone. One without a session must also arrive within the group's mean time between
-// ops after the earlier try ended, or after the time that its busy reply named.
+// session is matched by these alone. One without a session must also arrive soon after the earlier try ended, or
+// after the time that its busy reply named: within the mean time between two ops of its type and group.
 func (g *Gateway) matchRetry(now time.Duration, o *op, isRetry bool) {
 	gap, found := o.opType.meanArrivalGap*time.Duration(len(g.groupOrder)), false
 	if isRetry {
@@ -617,9 +619,9 @@
 
 // coldLimitAllows enforces rule 4: a cold server never gets more than the stated multiple of its present capacity, as
 // it would fall over. The capacity is estimated from the work that a warm server takes, scaled by the least share of it
-// that the server can have by now, or from what the server acked recently if that is more. The work is rationed by a
-// token bucket that starts at a random level below zero, as the first sends of many gateways would add up to an
-// overload.
+// that the server had one overload time ago, or from what the server acked recently if that is more. The work is
+// limited by a token bucket that starts at a random level below zero, as the first sends of many gateways would add up
+// to an overload.
 func (g *Gateway) coldLimitAllows(now time.Duration, o *op, s *server) bool {
 	work, share := float64(o.opType.meanAnswerTime()), g.capacityShare(now-g.overloadTime, s)
 	if share >= 1 {
@@ -686,8 +688,8 @@
 	}
 }
 
-// markLost records that a server was not running. Members of a group may restart together: if two were lost and no
-// member has been heard of since the first, all are assumed to have been lost.
+// markLost records that a server does not seem to be running. Members of a group may restart together:
+// if two are lost and no member has been heard of since the first, all are assumed to be lost.
 func (g *Gateway) markLost(now time.Duration, s *server) {
 	firstLost, lastHeard := never, LongPast
 	for _, m := range s.group.members {
@@ -802,7 +804,7 @@
 	}
 }
 
-// reportTrouble tells the host what this gateway itself has seen of a server, and once that the trouble has ended.
+// reportTrouble tells the host of each symptom that this gateway itself has seen of a server, and once of its end.
 func (g *Gateway) reportTrouble(s *server, t Trouble) {
 	if s.trouble != t || t != NoTrouble {
 		s.trouble = t
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -238,7 +238,7 @@
 		}
 		if len(g.ops) > 10 || len(g.servers) > 10 || len(g.groups) != 1 || len(g.groupOrder[0].members) > 10 ||
 			len(g.groupOrder[0].held) > 10 || len(g.expectedRetries) > 200 {
-			t.Errorf("carried %v: got %d ops, %d servers, %d groups, %d members, %d held, %d expected, want at most 10, 10, 1, 10, 10, 200",
+			t.Errorf("carried %v: got %d ops, %d servers, %d groups, %d members, %d held, %d expected, want <= 10, 10, 1, 10, 10, 200",
 				carried, len(g.ops),
 				len(g.servers), len(g.groups), len(g.groupOrder[0].members), len(g.groupOrder[0].held), len(g.expectedRetries))
 		}
@@ -494,12 +494,16 @@
 		event func(g *Gateway)
 		want  []uint32
 	}{
-		"drains":                  {listed(Listed{ID: 1, State: Draining, Started: LongPast}), []uint32{1}},
-		"gone":                    {listed(Listed{ID: 1, State: Gone, Started: LongPast}), []uint32{1}},
-		"restarts":                {listed(Listed{ID: 1, State: Ready, Started: 5 * ms}), []uint32{1}},
-		"unchanged":               {listed(Listed{ID: 1, State: Ready, Started: LongPast}), nil},
-		"reports being a replica": {func(g *Gateway) { g.updateRoleAndPosition(10*ms, g.servers[1], Replica, 0, 10*ms) }, []uint32{1}},
-		"another primary":         {func(g *Gateway) { g.updateRoleAndPosition(10*ms, g.servers[2], Primary, 9*ms, 10*ms) }, []uint32{1}},
+		"drains":    {listed(Listed{ID: 1, State: Draining, Started: LongPast}), []uint32{1}},
+		"gone":      {listed(Listed{ID: 1, State: Gone, Started: LongPast}), []uint32{1}},
+		"restarts":  {listed(Listed{ID: 1, State: Ready, Started: 5 * ms}), []uint32{1}},
+		"unchanged": {listed(Listed{ID: 1, State: Ready, Started: LongPast}), nil},
+		"reports being a replica": {func(g *Gateway) {
+			g.updateRoleAndPosition(10*ms, g.servers[1], Replica, 0, 10*ms)
+		}, []uint32{1}},
+		"another primary": {func(g *Gateway) {
+			g.updateRoleAndPosition(10*ms, g.servers[2], Primary, 9*ms, 10*ms)
+		}, []uint32{1}},
 	} {
 		g, h := newTestGateway(nil)
 		submitOp(g, 0, 1, writeNonRetryable)
@@ -565,7 +569,8 @@
 
 // A primary that hung for seconds and lost its role meanwhile first answers, as primary, what it had received before.
 // Its report says that it has been a replica for long. Whichever of the two arrives last, no read that must be current
-// may be sent to it. If claims are dated by position and by arrival, such a read gets data that is half a second too old.
+// may be sent to it. If claims are dated by position and by arrival, such a read gets data that is half a second
+// too old.
 func TestReportedReplicaGetsNoReadForPrimary(t *testing.T) {
 	for _, reportFirst := range []bool{true, false} {
 		g, h := newTestGateway(func(d *Deployment) { d.TellsPosition, d.ReportsPosition = false, true })
@@ -596,7 +601,7 @@
 }
 
 // Steady probes must not cost more than the ops. Without a limit each of 60 gateways probed each of 55 servers 50 times
-// a second, and service fell from 1.0 to 0.93.
+// a second, and service, the share of all value that is earned, fell from 1.0 to 0.93.
 func TestSteadyProbesAreLimitedByOps(t *testing.T) {
 	g, h := newTestGateway(positionsFromProbesOnly)
 	g.probeBudget = 0
--- a/choice/host.go
+++ b/choice/host.go
@@ -1,8 +1,8 @@
 // Package choice decides, for one gateway, which database server each op goes to and when.
 //
 // A Gateway has no I/O, clock or goroutine of its own. Its host creates it with New and calls a method for each event:
-// List, Op, Answer, Report, ProbeAnswer, ClientGone, Rumour, Timer and Stop. Each call carries the time of the event, and
-// the Gateway acts by calling the Host.
+// List, Op, Answer, Report, ProbeAnswer, ClientGone, Rumour, Timer and Stop. Each call carries the time of the event,
+// and the Gateway acts by calling the Host.
 //
 // Servers form groups of one primary and its replicas, which apply the primary's log with some lag. How far a server
 // has got is its position, the time up to which it has applied the log. Writes and fresh reads go to the primary. All
@@ -10,9 +10,9 @@
 // session reads, those within the bound for bounded reads, all of them for the rest.
 //
 // If no replica is fresh enough for a session read, the read is held for up to a quarter of its latency target and sent
-// to the first replica that becomes fresh enough. After that time it goes to the primary. The same holds for a session
-// read whose client does not tell the age of its last write, as only the primary is sure to have that. A bounded read
-// is held for a shorter time. If servers check reads themselves, the most advanced replica is tried first.
+// to the first replica that becomes fresh enough. After that time it goes to the primary. If session reads do not
+// carry the age of the session's last write, no replica is known to be fresh enough. A bounded read is held for a
+// shorter time. If servers check reads themselves, the most advanced replica is tried once before the wait.
 //
 // An op for which no server has room is held too. It is given up, with a busy reply or an error, when sending it could
 // no longer be useful or is no longer allowed.
@@ -31,7 +31,7 @@
 // Host is what a Gateway acts through. Every call takes effect at the time of the event being handled. Times are
 // durations since the gateway's start.
 type Host interface {
-	// Send sends an op to a server. The send may wait for a connection, but ends as NotSent if it has not begun by beginBy.
+	// Send sends an op to a server. The send may wait for a connection. It ends as NotSent if it has not begun by beginBy.
 	Send(op, server uint32, beginBy time.Duration)
 	// Withdraw takes back all sends to a server that have not begun. They end as NotSent.
 	Withdraw(server uint32)
@@ -53,7 +53,7 @@
 	CloseIdle(server uint32)
 	// Forget drops what the host keeps of a server, which is gone and has no open send or probe.
 	Forget(server uint32)
-	// Trouble reports a change in what the gateway itself has seen of a server.
+	// Trouble reports a symptom that the gateway itself has seen of a server, or with NoTrouble its end.
 	Trouble(server uint32, t Trouble)
 	// Log writes a line to the log.
 	Log(line string)
@@ -194,9 +194,9 @@
 const (
 	NoTrouble   Trouble = iota
 	Silence             // no answers for longer than chance explains
-	Unreachable         // no connection, or connections are reset
+	Unreachable         // no connection, connections that are reset, or no answer to a probe
 	Failing             // errors on ops that another server acked
-	Late                // most answers come late
+	Late                // answers keep coming late
 )
 
 // The results. ServerFull, NoConnection, NotSent and Declined prove that nothing ran.
