--- a/choice/choice.go
+++ b/choice/choice.go
@@ -44,8 +44,9 @@
 	// probe budget.
 	sampleSize = 64
 
-	// overdueFactor is the number of mean answer times after which an answer is overdue. A server is silent when
-	// one of its answers is overdue and all of them together are by twice that.
+	// overdueFactor is the number of mean answer times after which an answer is overdue. A server is silent when one of
+	// its answers is overdue and the waits for all of them add up to more than twice that, or to more than that if
+	// rumours have reached rumourThreshold.
 	overdueFactor = 3
 
 	// lostFactor is the number of mean answer times, for each send of the op, after which a send is cancelled as lost.
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -20,31 +20,31 @@
 	retryAfter time.Duration // of the newest busy reply
 }
 
-func (d *recordingHost) record(f string, a ...any) {
-	d.actions = append(d.actions, fmt.Sprintf(f, a...))
+func (h *recordingHost) record(format string, args ...any) {
+	h.actions = append(h.actions, fmt.Sprintf(format, args...))
 }
-func (d *recordingHost) BusyReply(op uint32, t time.Duration) {
-	d.retryAfter = t
-	d.record("busy %d", op)
+func (h *recordingHost) BusyReply(op uint32, retryAfter time.Duration) {
+	h.retryAfter = retryAfter
+	h.record("busy %d", op)
 }
-func (d *recordingHost) Error(op uint32)                   { d.record("error %d", op) }
-func (d *recordingHost) Cancel(op uint32, send uint8)      { d.record("cancel %d.%d", op, send) }
-func (d *recordingHost) Withdraw(server uint32)            { d.withdrawn = append(d.withdrawn, server) }
-func (d *recordingHost) Probe(server uint32)               { d.record("probe %d", server) }
-func (d *recordingHost) Timer(id uint32, at time.Duration) {}
-func (d *recordingHost) AskList()                          {}
-func (d *recordingHost) WatchList()                        { d.record("watch") }
-func (d *recordingHost) CloseIdle(server uint32)           {}
-func (d *recordingHost) Forget(server uint32)              { d.record("forget %d", server) }
-func (d *recordingHost) Log(line string)                   {}
+func (h *recordingHost) Error(op uint32)                   { h.record("error %d", op) }
+func (h *recordingHost) Cancel(op uint32, send uint8)      { h.record("cancel %d.%d", op, send) }
+func (h *recordingHost) Withdraw(server uint32)            { h.withdrawn = append(h.withdrawn, server) }
+func (h *recordingHost) Probe(server uint32)               { h.record("probe %d", server) }
+func (h *recordingHost) Timer(id uint32, at time.Duration) {}
+func (h *recordingHost) AskList()                          {}
+func (h *recordingHost) WatchList()                        { h.record("watch") }
+func (h *recordingHost) CloseIdle(server uint32)           {}
+func (h *recordingHost) Forget(server uint32)              { h.record("forget %d", server) }
+func (h *recordingHost) Log(line string)                   {}
 
-func (d *recordingHost) Send(op, server uint32, by time.Duration) {
-	d.record("send %d to %d", op, server)
-	d.beginBy = by
+func (h *recordingHost) Send(op, server uint32, beginBy time.Duration) {
+	h.record("send %d to %d", op, server)
+	h.beginBy = beginBy
 }
 
-func (d *recordingHost) Trouble(server uint32, t Trouble) {
-	d.troubles = append(d.troubles, fmt.Sprint(server, t))
+func (h *recordingHost) Trouble(server uint32, t Trouble) {
+	h.troubles = append(h.troubles, fmt.Sprint(server, t))
 }
 
 // The numbers of the op types of the tests.
@@ -83,18 +83,18 @@
 }
 
 // wantActions checks the actions recorded since the last call.
-func wantActions(t *testing.T, h *recordingHost, lines ...string) {
+func wantActions(t *testing.T, h *recordingHost, actions ...string) {
 	t.Helper()
-	if !slices.Equal(h.actions, lines) {
-		t.Errorf("got %q, want %q", h.actions, lines)
+	if !slices.Equal(h.actions, actions) {
+		t.Errorf("got %q, want %q", h.actions, actions)
 	}
 	h.actions = nil
 }
 
 // submitOp submits an op whose client waits for two seconds, without a stall of the gateway.
-func submitOp(g *Gateway, now time.Duration, id uint32, kind uint8) {
+func submitOp(g *Gateway, now time.Duration, id uint32, typeNumber uint8) {
 	g.lastTimerAt = now
-	g.Op(now, id, kind, 0, now+2*time.Second, 0, 0, false)
+	g.Op(now, id, typeNumber, 0, now+2*time.Second, 0, 0, false)
 }
 
 // assess calls assessResult for a new op, without Answer around it.
@@ -164,25 +164,25 @@
 // A cold server must not be overloaded by the peaks of many gateways, or by one send from each of hundreds of gateways
 // that send little: the sum of their sends must stay within the server's allowance.
 func TestColdServerGetsShareOfAverageOfWarmOnes(t *testing.T) {
-	const now0 = 10 * time.Second
-	for _, many := range []int{1, 400} {
-		n := 0
-		for seed := range many {
+	const start = 10 * time.Second
+	for _, gateways := range []int{1, 400} {
+		sends := 0
+		for seed := range gateways {
 			g, _ := newTestGateway(func(d *Deployment) { d.Seed = uint64(seed) * 0x9e3779b97f4a7c15 })
-			g.warmWork = float64(4*time.Second) / float64(many) // sent to two warm servers in a window of 2 s
+			g.warmWork = float64(4*time.Second) / float64(gateways) // sent to two warm servers in a window of 2 s
 			s, o := g.servers[3], &op{opType: &g.opTypes[anyRead]}
 			s.warmUpStart = 10 * time.Second
-			g.lastTimerAt, g.lastFullPassAt = now0, 0
-			g.Timer(now0, 0)
+			g.lastTimerAt, g.lastFullPassAt = start, 0
+			g.Timer(start, 0)
 			g.servers[1].probesNeeded, g.servers[2].probesNeeded = 2, 2 // from then on no warm server is left
-			for now := now0; now < now0+2*time.Second; now += 10 * ms {
+			for now := start; now < start+2*time.Second; now += 10 * ms {
 				for g.coldLimitAllows(now, o, s) {
-					n++
+					sends++
 				}
 			}
 		}
-		if n < 4 || n > 11 { // 2 s x capacity share 0.2 x multiple 2 x safety factor 0.8, in ops of 100 ms
-			t.Errorf("%d gateways sent a cold server %d ops in a window, want 4 to 11", many, n)
+		if sends < 4 || sends > 11 { // about 6: 2 s x capacity share 0.2 x multiple 2 x safety factor 0.8, in ops of 100 ms
+			t.Errorf("%d gateways sent a cold server %d ops in a window, want 4 to 11", gateways, sends)
 		}
 	}
 }
@@ -190,13 +190,13 @@
 // A restarted primary must not be held back because its replicas have little to do: it may be sent a multiple of what
 // it acks itself.
 func TestColdServerMayBeSentMultipleOfWhatItAcks(t *testing.T) {
-	const now0 = 10 * time.Second
+	const start = 10 * time.Second
 	sent := func(acks bool) (n int) {
 		g, _ := newTestGateway(func(d *Deployment) { d.OverloadFactor = 4 })
 		g.warmRate = 0.2
 		s, o := g.servers[1], &op{opType: &g.opTypes[anyRead]}
-		s.warmUpStart = now0
-		for now := now0; now < now0+5*time.Second; now += 10 * ms {
+		s.warmUpStart = start
+		for now := start; now < start+5*time.Second; now += 10 * ms {
 			for g.coldLimitAllows(now, o, s) {
 				if n++; acks {
 					assess(g, now, s, Acked, 100*ms)
@@ -601,7 +601,7 @@
 }
 
 // Steady probes must not cost more than the ops. Without a limit each of 60 gateways probed each of 55 servers 50 times
-// a second, and service, the share of all value that is earned, fell from 1.0 to 0.93.
+// a second, which cost 0.93 to 1.0 points of service, the share of all value that is earned.
 func TestSteadyProbesAreLimitedByOps(t *testing.T) {
 	g, h := newTestGateway(positionsFromProbesOnly)
 	g.probeBudget = 0
@@ -637,7 +637,7 @@
 
 // The list tells of a restart late. Six servers fell over 0.8 to 1.4 s after their start, as they were sent three times
 // what they could do. A server that was found not to be running counts as cold when it answers again. If two members of
-// a group were lost and none has been heard of since, all members do.
+// a group were lost and none has been heard of since, all members count as cold.
 func TestLostServerReturnsCold(t *testing.T) {
 	for lost, cold := range map[int][]bool{1: {false, true, false}, 2: {true, true, true}} {
 		g, _ := newTestGateway(nil)
@@ -706,8 +706,8 @@
 
 // A client's latency target counts from its first try, so that no work is spent on what can earn nothing any more. With
 // unmarked retries mean service was 0.71, and 0.81 with marked ones. An unmarked retry is recognized by its session, or
-// else by the time of its arrival. An op that fails at any server is not expected again, as new ops would be
-// taken for its retries.
+// else by the time of its arrival. An op that fails at any server is not expected again, as new ops would be taken
+// for its retries.
 func TestRetryKeepsTargetOfFirstTry(t *testing.T) {
 	marked := func(d *Deployment) { d.OpTypes[anyRead].LateValue = 0 }
 	unmarked := func(d *Deployment) { marked(d); d.RetriesUnmarked = true }
--- a/choice/host.go
+++ b/choice/host.go
@@ -121,7 +121,7 @@
 	Seed            uint64        // of this gateway's random numbers
 	Round           time.Duration // least time between two events of the host
 	ListAsked       bool          // the server list is sent only when asked for, else changes are pushed
-	AskWithin       time.Duration // a gateway that has not asked for the list for this long counts as knowing its changes
+	AskWithin       time.Duration // after this time without asking, a gateway counts as knowing the list
 	Checks          Checks
 	TellsPosition   bool          // every answer carries the server's position
 	MarksCarried    bool          // session reads carry the age of their session's last write
@@ -132,13 +132,13 @@
 	MaxSends        int           // most sends of one op
 	ColdFrom        float64       // least share of its capacity with which a server starts
 	ColdTime        time.Duration // longest time that a server takes from then to its full capacity
-	OverloadFactor  float64       // a cold server falls over when sent more than this multiple of its present capacity
-	OverloadTime    time.Duration // for this time
+	OverloadFactor  float64       // multiple of its present capacity that a cold server withstands
+	OverloadTime    time.Duration // a cold server falls over when sent more than OverloadFactor allows for this time
 	ReportsPosition bool          // reports carry a position
 	ReportsRole     bool          // reports carry a role
 }
 
-// State is what the list says of a server.
+// State is the state of a server by the list.
 type State uint8
 
 // The states of a listed server.
