--- a/choice/choice.go
+++ b/choice/choice.go
@@ -248,11 +248,11 @@
 func New(h Host, d *Deployment) *Gateway {
 	g := &Gateway{
 		host: h, ops: map[uint32]*op{}, servers: map[uint32]*server{}, groups: map[uint16]*group{},
-		tick: max(d.Round, time.Millisecond), shortWait: time.Hour,
-		replicasCheck: d.Checks != Unchecked, writeAgeCarried: d.MarksCarried, mayProbe: d.Probes, mayCancel: d.Cancels,
-		steadyProbing: d.Probes && d.ReportsPosition && !d.TellsPosition && d.Checks != Unchecked,
-		retriesMarked: !d.RetriesUnmarked, maxSends: max(1, d.MaxSends), initialProbes: map[bool]int{true: 1}[d.Probes],
-		maxRetryAfter: d.MaxComeBack, maxListBackoff: cmp.Or(d.AskWithin, time.Minute) / 4, seed: d.Seed,
+		tick: max(d.EventInterval, time.Millisecond), shortWait: time.Hour,
+		replicasCheck: d.Checks != Unchecked, writeAgeCarried: d.WriteAgeCarried, mayProbe: d.MayProbe, mayCancel: d.MayCancel,
+		steadyProbing: d.MayProbe && d.ReportsPosition && !d.AnswersCarryPosition && d.Checks != Unchecked,
+		retriesMarked: !d.RetriesUnmarked, maxSends: max(1, d.MaxSends), initialProbes: map[bool]int{true: 1}[d.MayProbe],
+		maxRetryAfter: d.MaxRetryAfter, maxListBackoff: cmp.Or(d.AskWithin, time.Minute) / 4, seed: d.Seed,
 		coldCapacityShare: d.ColdFrom, overloadFactor: d.OverloadFactor, warmUpTime: max(1, d.ColdTime),
 		overloadTime: max(1, d.OverloadTime), gatewayCount: max(1, float64(d.Gateways)),
 		connShortageEnd: LongPast, lastResetAt: LongPast, stallNoticedAt: LongPast,
@@ -262,7 +262,7 @@
 		g.shortWait = min(g.shortWait, t.Target/shortWaitDivisor)
 		g.opTypes = append(g.opTypes, opType{OpType: t})
 	}
-	if g.listBackoff = min(g.shortWait, g.maxListBackoff); d.ListAsked {
+	if g.listBackoff = min(g.shortWait, g.maxListBackoff); d.ListOnRequest {
 		h.WatchList()
 	}
 	h.Timer(0, g.tick)
@@ -364,7 +364,7 @@
 	}
 	s, o.sentTo = o.sentTo, nil
 	s.openSends = slices.DeleteFunc(s.openSends, func(p *op) bool { return p == o })
-	neverRan := result == ServerFull || result == NoConnection || result == NotSent || result == Miss
+	neverRan := result == ServerFull || result == NoConnection || result == NotSent || result == Declined
 	if neverRan && o.mayHaveRunAt == o.sentAt {
 		o.mayHaveRunAt = never
 	}
@@ -376,7 +376,7 @@
 	e := o.firstErrorFrom
 	o.failsEverywhere = result == ServerError && e != nil && e != s && e.backoff == 0 && s.backoff == 0
 	g.assessResult(now, s, o, result, took)
-	o.declined = o.declined || result == Miss
+	o.declined = o.declined || result == Declined
 	if final || o.done || result == Acked {
 		delete(g.ops, id)
 	} else {
@@ -718,7 +718,7 @@
 func (g *Gateway) assessResult(now time.Duration, s *server, o *op, result Result, took time.Duration) {
 	slow := took > o.opType.Target/queueingDivisor
 	switch result {
-	case Acked, Miss, ServerFull, ServerError:
+	case Acked, Declined, ServerFull, ServerError:
 		g.markAlive(now, s, o.sentAt)
 	case Reset: // a bad network path or a dead process, not a lack of connections
 		g.lastResetAt, g.connShortageEnd = now, LongPast
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -60,8 +60,8 @@
 // newTestGateway returns a gateway with one group: primary 1 and replicas 2 and 3, warm, in use and at position 0. If
 // change is not nil, it may change the deployment first.
 func newTestGateway(change func(*Deployment)) (*Gateway, *recordingHost) {
-	d := &Deployment{Round: 5 * ms, TellsPosition: true, MarksCarried: true,
-		Probes: true, Cancels: true, MaxComeBack: time.Second, MaxSends: 4,
+	d := &Deployment{EventInterval: 5 * ms, AnswersCarryPosition: true, WriteAgeCarried: true,
+		MayProbe: true, MayCancel: true, MaxRetryAfter: time.Second, MaxSends: 4,
 		ColdFrom: 0.2, ColdTime: 10 * time.Second, OverloadFactor: 2, OverloadTime: 2 * time.Second}
 	for _, need := range []Need{Write, Write, Fresh, Session, Bounded, Any} {
 		d.OpTypes = append(d.OpTypes, OpType{Effect: Retryable, Need: need, Bound: 200 * ms, Window: time.Second,
@@ -156,8 +156,8 @@
 	g, h := newTestGateway(nil)
 	g.groups[0].primary = nil
 	submitOp(g, 100*ms, 1, writeNonRetryable)
-	g.Answer(101*ms, 1, 0, 1, Miss, ms, false, Replica, 0)
-	g.Answer(102*ms, 1, 1, 2, Miss, ms, false, Replica, 0)
+	g.Answer(101*ms, 1, 0, 1, Declined, ms, false, Replica, 0)
+	g.Answer(102*ms, 1, 1, 2, Declined, ms, false, Replica, 0)
 	wantActions(t, h, "send 1 to 1", "send 1 to 2", "send 1 to 3")
 }
 
@@ -213,7 +213,7 @@
 // Servers are replaced by new ids and sessions come and go all the time. No state of either may be kept for good.
 func TestStateStaysBoundedWhileServersAndSessionsChange(t *testing.T) {
 	for _, carried := range []bool{true, false} {
-		g, h := newTestGateway(func(d *Deployment) { d.MarksCarried = carried })
+		g, h := newTestGateway(func(d *Deployment) { d.WriteAgeCarried = carried })
 		now, last := time.Duration(0), uint32(3)
 		for n := range uint32(20000) {
 			now += 20 * ms
@@ -316,8 +316,8 @@
 	submitOp(g, 100*ms, 1, writeNonRetryable)
 	g.Answer(110*ms, 1, 0, 1, NoConnection, 10*ms, false, RoleUnknown, LongPast)
 	wantActions(t, h, "send 1 to 1", "send 1 to 2") // the send is known not to have run, so another member is tried
-	g.Answer(111*ms, 1, 1, 2, Miss, ms, false, Replica, 90*ms)
-	g.Answer(112*ms, 1, 2, 3, Miss, ms, false, Replica, 90*ms)
+	g.Answer(111*ms, 1, 1, 2, Declined, ms, false, Replica, 90*ms)
+	g.Answer(112*ms, 1, 2, 3, Declined, ms, false, Replica, 90*ms)
 	wantActions(t, h, "send 1 to 3")
 	g.Report(113*ms, 3, Primary, 112500*time.Microsecond)
 	g.Timer(115*ms, 0)
@@ -345,7 +345,7 @@
 	g, h := newTestGateway(func(d *Deployment) { d.Checks = Refuses })
 	g.servers[2].lag, g.servers[3].lag = 250*ms, 240*ms
 	submitOp(g, 250*ms, 1, boundedRead)
-	g.Answer(251*ms, 1, 0, 3, Miss, ms, false, Replica, 20*ms)
+	g.Answer(251*ms, 1, 0, 3, Declined, ms, false, Replica, 20*ms)
 	wantActions(t, h, "send 1 to 3")
 	g.Timer(350*ms, 0)
 	wantActions(t, h, "send 1 to 1")
@@ -353,7 +353,7 @@
 
 // Without the age of the session's last write, only the primary is sure to have that write.
 func TestSessionReadWithoutWriteAgeGoesToPrimary(t *testing.T) {
-	g, h := newTestGateway(func(d *Deployment) { d.MarksCarried = false })
+	g, h := newTestGateway(func(d *Deployment) { d.WriteAgeCarried = false })
 	g.lastTimerAt = 60 * ms
 	g.Op(60*ms, 2, sessionRead, 9, 2*time.Second, 0, 0, false)
 	g.Timer(100*ms, 0)
@@ -363,7 +363,7 @@
 }
 
 func TestListWatchIsRetriedWithBackoff(t *testing.T) {
-	g, h := newTestGateway(func(d *Deployment) { d.ListAsked, d.AskWithin = true, 3200*ms })
+	g, h := newTestGateway(func(d *Deployment) { d.ListOnRequest, d.AskWithin = true, 3200*ms })
 	now := time.Duration(0)
 	for _, wait := range []time.Duration{25 * ms, 50 * ms, 100 * ms, 200 * ms, 400 * ms, 800 * ms, 800 * ms} {
 		g.List(now, ListFailed, nil)
@@ -573,7 +573,7 @@
 // too old.
 func TestReportedReplicaGetsNoReadForPrimary(t *testing.T) {
 	for _, reportFirst := range []bool{true, false} {
-		g, h := newTestGateway(func(d *Deployment) { d.TellsPosition, d.ReportsPosition = false, true })
+		g, h := newTestGateway(func(d *Deployment) { d.AnswersCarryPosition, d.ReportsPosition = false, true })
 		submitOp(g, 100*ms, 1, writeNonRetryable)
 		report := func() { g.Report(3*time.Second, 1, Replica, 50*ms) }
 		if reportFirst {
@@ -597,7 +597,7 @@
 // positionsFromProbesOnly changes a deployment to one whose answers carry no position. Only probes tell positions, and
 // servers check reads themselves.
 func positionsFromProbesOnly(d *Deployment) {
-	d.TellsPosition, d.ReportsPosition, d.Checks = false, true, Waits
+	d.AnswersCarryPosition, d.ReportsPosition, d.Checks = false, true, Waits
 }
 
 // Steady probes must not cost more than the ops. Without a limit each of 60 gateways probed each of 55 servers 50 times
@@ -696,7 +696,7 @@
 // value the busy reply names the op timeout, else the latency target.
 func TestBusyReplyRetryAfterDependsOnLateValue(t *testing.T) {
 	for lateValue, retryAfter := range map[float64]time.Duration{0: 2 * time.Second, 0.5: 400 * ms} {
-		g, h := newTestGateway(func(d *Deployment) { d.MaxComeBack, d.OpTypes[anyRead].LateValue = time.Minute, lateValue })
+		g, h := newTestGateway(func(d *Deployment) { d.MaxRetryAfter, d.OpTypes[anyRead].LateValue = time.Minute, lateValue })
 		submitOp(g, 0, 1, anyRead)
 		if g.giveUp(0, g.ops[1]); h.retryAfter != retryAfter {
 			t.Errorf("late value %v: got retry after %v, want the op timeout only without late value", lateValue, h.retryAfter)
@@ -972,7 +972,7 @@
 }
 
 func TestRumourSpendsOneProbeAndRequestsFailedList(t *testing.T) {
-	g, h := newTestGateway(func(d *Deployment) { d.ListAsked, d.AskWithin = true, time.Hour })
+	g, h := newTestGateway(func(d *Deployment) { d.ListOnRequest, d.AskWithin = true, time.Hour })
 	g.probeBudget = 1
 	g.Rumour(0, 2, 0.9)
 	wantActions(t, h) // below the threshold
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -46,7 +46,7 @@
 		restart    = 20 * time.Second
 		cold       = 4
 	)
-	d := &Deployment{Gateways: gateways, Round: ms, TellsPosition: true, Probes: true, MaxSends: 4, ColdFrom: 0.2,
+	d := &Deployment{Gateways: gateways, EventInterval: ms, AnswersCarryPosition: true, MayProbe: true, MaxSends: 4, ColdFrom: 0.2,
 		ColdTime: 12 * time.Second, OverloadFactor: 3, OverloadTime: 3 * time.Second,
 		OpTypes: []OpType{{Effect: Retryable, Need: Any, Target: 400 * ms, Timeout: 2 * time.Second, Value: 1}}}
 	rng := rand.New(rand.NewPCG(seed, 1))
--- a/choice/host.go
+++ b/choice/host.go
@@ -116,26 +116,26 @@
 
 // Deployment is what a gateway is told of its surroundings at start.
 type Deployment struct {
-	OpTypes         []OpType
-	Gateways        int           // number of gateways
-	Seed            uint64        // of this gateway's random numbers
-	Round           time.Duration // least time between two events of the host
-	ListAsked       bool          // the server list is sent only when asked for, else changes are pushed
-	AskWithin       time.Duration // after this time without asking, a gateway counts as knowing the list
-	Checks          Checks
-	TellsPosition   bool          // every answer carries the server's position
-	MarksCarried    bool          // session reads carry the age of their session's last write
-	RetriesUnmarked bool          // clients do not mark retries
-	Probes          bool          // servers may be probed
-	Cancels         bool          // sends may be cancelled
-	MaxComeBack     time.Duration // longest wait named in a busy reply that clients honour
-	MaxSends        int           // most sends of one op
-	ColdFrom        float64       // least share of its capacity with which a server starts
-	ColdTime        time.Duration // longest time that a server takes from then to its full capacity
-	OverloadFactor  float64       // multiple of its present capacity that a cold server withstands
-	OverloadTime    time.Duration // a cold server falls over when sent more than OverloadFactor allows for this time
-	ReportsPosition bool          // reports carry a position
-	ReportsRole     bool          // reports carry a role
+	OpTypes              []OpType
+	Gateways             int           // number of gateways
+	Seed                 uint64        // of this gateway's random numbers
+	EventInterval        time.Duration // least time between two events of the host
+	ListOnRequest        bool          // the server list is sent only when asked for, else changes are pushed
+	AskWithin            time.Duration // after this time without asking, a gateway counts as knowing the list
+	Checks               Checks
+	AnswersCarryPosition bool          // every answer carries the server's position
+	WriteAgeCarried      bool          // session reads carry the age of their session's last write
+	RetriesUnmarked      bool          // clients do not mark retries
+	MayProbe             bool          // servers may be probed
+	MayCancel            bool          // sends may be cancelled
+	MaxRetryAfter        time.Duration // longest wait named in a busy reply that clients honour
+	MaxSends             int           // most sends of one op
+	ColdFrom             float64       // least share of its capacity with which a server starts
+	ColdTime             time.Duration // longest time that a server takes from then to its full capacity
+	OverloadFactor       float64       // multiple of its present capacity that a cold server withstands
+	OverloadTime         time.Duration // a cold server falls over when sent more than OverloadFactor allows for this time
+	ReportsPosition      bool          // reports carry a position
+	ReportsRole          bool          // reports carry a role
 }
 
 // State is the state of a server by the list.
@@ -209,5 +209,5 @@
 	Reset               // the connection broke while the answer was awaited
 	Cancelled           // cancelled by the gateway
 	NotSent             // withdrawn, or not begun in time
-	Miss                // the server is not the primary that the op needs, or its data is too old
+	Declined            // the server is not the primary that the op needs, or its data is too old
 )
--- a/cmd/gorsewell/run.go
+++ b/cmd/gorsewell/run.go
@@ -83,7 +83,7 @@
 	}
 	// On sockets no list comes by itself, whatever way the deployment has of its own: it is asked for.
 	told.AskWithin = discovery.AskWithin(told)
-	told.ListAsked = true
+	told.ListOnRequest = true
 	if _, _, err := discovery.NewNames(exchange.StartClock(), told).Listed(&g.Known); err != nil {
 		return nil, nil, fmt.Errorf("known: %w", err)
 	}
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -22,7 +22,7 @@
 	choice.Reset:        "send_reset",
 	choice.Cancelled:    "send_cancelled",
 	choice.NotSent:      "send_not_sent",
-	choice.Miss:         "send_missed",
+	choice.Declined:     "send_missed",
 }
 
 // Set holds the counters of one gateway. The zero value is ready to use. The names in the log are derived from the
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -183,20 +183,20 @@
 		IdleTime:       r.duration("limits.keepalive"),
 		DrainGrace:     r.duration("rules.drain_grace"),
 		Deployment: choice.Deployment{
-			Gateways:        int(r.number("balancers")),
-			Round:           r.duration("round"),
-			ListAsked:       r.enum("registry_mode", "pushed", "on_request") == "on_request",
-			AskWithin:       r.duration("rules.must_ask_in"),
-			TellsPosition:   r.boolean("family_info.tells_position"),
-			MarksCarried:    r.enum("family_info.write_marks", "brought", "kept") == "brought",
-			RetriesUnmarked: v["clients.marks_retry"] != "" && !r.boolean("clients.marks_retry"),
-			Probes:          r.boolean("limits.probing"),
-			Cancels:         r.boolean("limits.may_cancel"),
-			MaxSends:        int(r.number("limits.max_attempts")),
-			ColdFrom:        r.number("rules.cold_from"),
-			ColdTime:        r.duration("rules.cold"),
-			OverloadFactor:  r.number("rules.overload_factor"),
-			OverloadTime:    r.duration("rules.fall"),
+			Gateways:             int(r.number("balancers")),
+			EventInterval:        r.duration("round"),
+			ListOnRequest:        r.enum("registry_mode", "pushed", "on_request") == "on_request",
+			AskWithin:            r.duration("rules.must_ask_in"),
+			AnswersCarryPosition: r.boolean("family_info.tells_position"),
+			WriteAgeCarried:      r.enum("family_info.write_marks", "brought", "kept") == "brought",
+			RetriesUnmarked:      v["clients.marks_retry"] != "" && !r.boolean("clients.marks_retry"),
+			MayProbe:             r.boolean("limits.probing"),
+			MayCancel:            r.boolean("limits.may_cancel"),
+			MaxSends:             int(r.number("limits.max_attempts")),
+			ColdFrom:             r.number("rules.cold_from"),
+			ColdTime:             r.duration("rules.cold"),
+			OverloadFactor:       r.number("rules.overload_factor"),
+			OverloadTime:         r.duration("rules.fall"),
 		},
 	}
 	if zero, err := strconv.ParseUint(v["family_info.zero"], 10, 64); err == nil {
@@ -212,7 +212,7 @@
 		t.ReportsRole = t.ReportsRole || name == "x1"
 	}
 	if r.boolean("limits.retry_after") {
-		t.MaxComeBack = r.duration("limits.max_retry_after")
+		t.MaxRetryAfter = r.duration("limits.max_retry_after")
 	}
 	switch r.enum("family_info.checks", "silent", "bounce", "await") {
 	case "bounce":
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -77,8 +77,8 @@
 	lookup := choice.OpType{Effect: choice.Retryable, Scope: choice.ScopeAll, Need: choice.Bounded,
 		Bound: 200 * time.Millisecond, Target: 500 * time.Millisecond, Timeout: 1200 * time.Millisecond, Value: 2}
 	if nested.OpTypes[0] != lookup || nested.OpTypes[1].Effect != choice.Tokened || nested.OpTypes[1].Need != choice.Write ||
-		!nested.ReportsPosition || nested.MaxComeBack != 2*time.Second || nested.Checks != choice.Refuses ||
-		nested.IdleTime != 30*time.Second || nested.AskWithin != 10*time.Second || !nested.ListAsked {
+		!nested.ReportsPosition || nested.MaxRetryAfter != 2*time.Second || nested.Checks != choice.Refuses ||
+		nested.IdleTime != 30*time.Second || nested.AskWithin != 10*time.Second || !nested.ListOnRequest {
 		t.Errorf("got %+v, want the values of the JSON text", nested)
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -41,7 +41,7 @@
 // again. In that case the backoff after a failed call is limited to half of the drain grace, so that the other half is
 // left.
 func AskWithin(settings *deployment.Told) time.Duration {
-	if settings.ListAsked {
+	if settings.ListOnRequest {
 		return ToldWithin * 4 / 5
 	}
 	return min(ToldWithin, max(2*settings.DrainGrace, 4*minBackoff))
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -189,9 +189,9 @@
 // newGateway returns a gateway that uses this discovery, and its client.
 func (s *fakeDiscovery) newGateway(seed uint64, pushed bool) (*testGateway, *Client) {
 	settings := &deployment.Told{}
-	settings.ListAsked, settings.DrainGrace, settings.Seed, settings.Round = !pushed, drainGrace, seed, 10*time.Millisecond
+	settings.ListOnRequest, settings.DrainGrace, settings.Seed, settings.EventInterval = !pushed, drainGrace, seed, 10*time.Millisecond
 	settings.AskWithin = AskWithin(settings)
-	settings.ListAsked = true
+	settings.ListOnRequest = true
 	settings.OpTypes = []choice.OpType{{Target: 500 * time.Millisecond, Timeout: time.Second}}
 	clock := exchange.StartClock()
 	g := &testGateway{Dispatch: dispatch.New(clock, &counters.Set{}), drainSeen: make(chan time.Time, 1)}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -53,8 +53,8 @@
 // read that must see its session's last write.
 func startDispatch(t *testing.T) (*Dispatch, *fakeServers, *fakeDiscovery) {
 	t.Helper()
-	settings := &choice.Deployment{Gateways: 1, Round: 5 * time.Millisecond, ListAsked: true, AskWithin: 10 * time.Second,
-		MaxSends: 8, Cancels: true, TellsPosition: true, MarksCarried: true, OpTypes: []choice.OpType{
+	settings := &choice.Deployment{Gateways: 1, EventInterval: 5 * time.Millisecond, ListOnRequest: true, AskWithin: 10 * time.Second,
+		MaxSends: 8, MayCancel: true, AnswersCarryPosition: true, WriteAgeCarried: true, OpTypes: []choice.OpType{
 			{Effect: choice.Retryable, Need: choice.Any, Target: 500 * time.Millisecond, Timeout: time.Second, Value: 1},
 			{Need: choice.Write, Target: 500 * time.Millisecond, Timeout: time.Second, Value: 1, LateValue: 0.5},
 			{Effect: choice.Retryable, Need: choice.Session, Target: 500 * time.Millisecond, Timeout: time.Second, Value: 1},
--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -154,7 +154,7 @@
 	w := &t.watch
 	w.out--
 	switch result {
-	case choice.ServerFull, choice.NoConnection, choice.NotSent, choice.Miss:
+	case choice.ServerFull, choice.NoConnection, choice.NotSent, choice.Declined:
 	default:
 		if !w.mayHave {
 			w.mayHave, w.mayAt, w.mayGroup = true, w.sentTimes[a.number], w.groups[a.number]
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -39,7 +39,7 @@
 
 func newPlain(g *gateway, d *choice.Deployment, choose func(p *plain, o *plainOp) *server) *plain {
 	p := &plain{g: g, d: d, ops: map[uint32]*plainOp{}, choose: choose, out: map[uint32]int{}, states: map[uint32]choice.State{}}
-	if d.ListAsked {
+	if d.ListOnRequest {
 		g.WatchList()
 	}
 	g.Timer(0, 0)
@@ -94,13 +94,13 @@
 // place sends an op, holds it while there is nowhere to send it, or gives it up.
 func (p *plain) place(now time.Duration, o *plainOp) {
 	may := o.sends < p.d.MaxSends && (!o.maybe || o.t.Effect == choice.Retryable ||
-		o.t.Effect == choice.Tokened && o.t.Scope != choice.ScopeZone && now-o.maybeAt < o.t.Window-2*p.d.Round)
+		o.t.Effect == choice.Tokened && o.t.Scope != choice.ScopeZone && now-o.maybeAt < o.t.Window-2*p.d.EventInterval)
 	last := p.last(o)
-	if !may || now >= last-2*p.d.Round || p.oracular && now+p.g.w.types[o.kind].Work/2 > last {
+	if !may || now >= last-2*p.d.EventInterval || p.oracular && now+p.g.w.types[o.kind].Work/2 > last {
 		p.unhold(o)
 		delete(p.ops, o.id)
 		if !o.maybe || o.t.Effect == choice.Retryable || o.t.Effect == choice.Tokened && o.t.Scope == choice.ScopeAll {
-			p.g.BusyReply(o.id, min(o.t.Target, p.d.MaxComeBack))
+			p.g.BusyReply(o.id, min(o.t.Target, p.d.MaxRetryAfter))
 		} else {
 			p.g.Error(o.id)
 		}
@@ -140,7 +140,7 @@
 	}
 	o.out = nil
 	switch result {
-	case choice.ServerFull, choice.NoConnection, choice.NotSent, choice.Miss:
+	case choice.ServerFull, choice.NoConnection, choice.NotSent, choice.Declined:
 	default:
 		if !o.maybe {
 			o.maybe, o.maybeAt = true, o.outAt
@@ -161,7 +161,7 @@
 }
 
 func (p *plain) Timer(now time.Duration, _ uint32) {
-	p.g.Timer(0, now+p.d.Round)
+	p.g.Timer(0, now+p.d.EventInterval)
 	p.wake(now)
 }
 
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -20,7 +20,7 @@
 )
 
 var resultNames = [...]string{choice.Acked: "acked", choice.ServerError: "error", choice.ServerFull: "full", choice.TimedOut: "timed out",
-	choice.NoConnection: "no connection", choice.Reset: "reset", choice.Cancelled: "cancelled", choice.NotSent: "not sent", choice.Miss: "missed"}
+	choice.NoConnection: "no connection", choice.Reset: "reset", choice.Cancelled: "cancelled", choice.NotSent: "not sent", choice.Declined: "missed"}
 
 // Result is what came of a day.
 type Result struct {
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -229,9 +229,9 @@
 // deployment is what a gateway is told at its start.
 func (r *run) deployment(g *gateway) *choice.Deployment {
 	w := &r.world
-	d := &choice.Deployment{Gateways: w.Gateways.Count, Seed: mix(r.seed ^ uint64(g.index)<<20 ^ uint64(g.life)), Round: w.Gateways.Round,
-		ListAsked: w.List.Asked, AskWithin: w.List.Within, Checks: r.checks, TellsPosition: w.Reports.Answers, MarksCarried: w.Reports.Carried,
-		Probes: w.Gateways.Probes, Cancels: w.Gateways.Cancels, MaxComeBack: w.Gateways.ComeBack, MaxSends: w.Gateways.MaxSends,
+	d := &choice.Deployment{Gateways: w.Gateways.Count, Seed: mix(r.seed ^ uint64(g.index)<<20 ^ uint64(g.life)), EventInterval: w.Gateways.Round,
+		ListOnRequest: w.List.Asked, AskWithin: w.List.Within, Checks: r.checks, AnswersCarryPosition: w.Reports.Answers, WriteAgeCarried: w.Reports.Carried,
+		MayProbe: w.Gateways.Probes, MayCancel: w.Gateways.Cancels, MaxRetryAfter: w.Gateways.ComeBack, MaxSends: w.Gateways.MaxSends,
 		ColdFrom: w.Servers.ColdFrom, ColdTime: w.Servers.ColdTime, OverloadFactor: w.Rules.Overload,
 		OverloadTime: w.Rules.FallTime, ReportsPosition: w.Reports.Probes, ReportsRole: w.Reports.Probes}
 	for _, t := range r.types {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -187,9 +187,9 @@
 	case s.draining || s.refuses:
 		s.reply(a, choice.ServerFull)
 	case isWrite && !s.primary():
-		s.reply(a, choice.Miss)
+		s.reply(a, choice.Declined)
 	case !isWrite && s.w.checks == choice.Refuses && !s.primary() && a.want > s.told():
-		s.reply(a, choice.Miss)
+		s.reply(a, choice.Declined)
 	case !isWrite && s.w.checks == choice.Waits && !s.primary() && a.want > s.told():
 		s.waiting = append(s.waiting, a)
 	case s.busy >= s.cores && len(s.queue) >= c.Queue*s.cores:
--- a/internal/serverside/receive.go
+++ b/internal/serverside/receive.go
@@ -134,7 +134,7 @@
 func resultOfSQLState(code string) choice.Result {
 	switch code {
 	case "25006", "72000":
-		return choice.Miss
+		return choice.Declined
 	case "53300", "57P03":
 		return choice.ServerFull
 	}
--- a/internal/serverside/serverside_test.go
+++ b/internal/serverside/serverside_test.go
@@ -120,8 +120,8 @@
 		stays  bool
 		want   choice.Result
 	}{
-		{"not the primary", standin.Failure("25006", "replica", 5), true, choice.Miss},
-		{"too far behind", standin.Failure("72000", "replica", 5), true, choice.Miss},
+		{"not the primary", standin.Failure("25006", "replica", 5), true, choice.Declined},
+		{"too far behind", standin.Failure("72000", "replica", 5), true, choice.Declined},
 		{"full", standin.Failure("53300", "replica", 5), true, choice.ServerFull},
 		{"error", standin.Failure("XX000", "replica", 5), true, choice.ServerError},
 		{"close without a response", nil, false, choice.Reset},
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -294,7 +294,7 @@
 	case 114:
 		return choice.NotSent, nil
 	case 2:
-		return choice.Miss, nil
+		return choice.Declined, nil
 	}
 	return 0, fmt.Errorf("unknown outcome %d", rc)
 }
