--- a/internal/clientside/accept.go
+++ b/internal/clientside/accept.go
@@ -63,7 +63,7 @@
 )
 
 // Acceptor accepts client connections and serves them.
-type Front struct {
+type Acceptor struct {
 	clock      exchange.Clock
 	dispatcher exchange.Desk
 	counts     *counters.Set
@@ -90,8 +90,8 @@
 }
 
 // New returns an acceptor for at most maxConns connections.
-func New(clock exchange.Clock, dispatcher exchange.Desk, counts *counters.Set, settings *deployment.Told, maxConns int) *Front {
-	a := &Front{clock: clock, dispatcher: dispatcher, counts: counts, settings: settings, opTypes: map[string]uint8{},
+func New(clock exchange.Clock, dispatcher exchange.Desk, counts *counters.Set, settings *deployment.Told, maxConns int) *Acceptor {
+	a := &Acceptor{clock: clock, dispatcher: dispatcher, counts: counts, settings: settings, opTypes: map[string]uint8{},
 		maxConns: int64(maxConns), conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1), openIDs: map[string]struct{}{}}
 	for i, name := range settings.OpTypeNames {
 		a.opTypes[name] = uint8(i)
@@ -102,7 +102,7 @@
 // Serve accepts connections until the context ends and for stopAcceptPeriod after that. Then it closes each connection
 // once its open ops have ended, and returns when the last one is closed. Ops that would outlast the process are ended
 // shortly before the process is killed.
-func (a *Front) Serve(ctx context.Context, l *net.TCPListener) error {
+func (a *Acceptor) Serve(ctx context.Context, l *net.TCPListener) error {
 	var group errgroup.Group
 	stop := context.AfterFunc(ctx, func() {
 		slog.Info("stopping")
@@ -123,7 +123,7 @@
 }
 
 // longestOpTimeout returns the longest op timeout, limited to maxDrain. A planned stop waits that long for open ops.
-func (a *Front) longestOpTimeout() time.Duration {
+func (a *Acceptor) longestOpTimeout() time.Duration {
 	var longest time.Duration
 	for _, t := range a.settings.OpTypes {
 		longest = max(longest, t.Timeout)
@@ -132,7 +132,7 @@
 }
 
 // accept accepts connections until the listener is closed, or until its deadline passes after the end of the context.
-func (a *Front) accept(ctx context.Context, l *net.TCPListener, group *errgroup.Group) error {
+func (a *Acceptor) accept(ctx context.Context, l *net.TCPListener, group *errgroup.Group) error {
 	queue := &backlog{listener: l, clock: a.clock, lastEmpty: a.clock.Now()}
 	for failing, lastRound := false, false; ; {
 		queue.age()
@@ -166,7 +166,7 @@
 			netConn.Close()
 			continue
 		}
-		c := &conn{acceptor: a, net: netConn, readBuffer: pgwire.Window{Most: a.settings.LongestMessage}, replies: make(chan reply, maxPendingCommands+extraReplies)}
+		c := &conn{acceptor: a, net: netConn, readBuffer: pgwire.ReadBuffer{MaxMessage: a.settings.LongestMessage}, replies: make(chan reply, maxPendingCommands+extraReplies)}
 		c.lastActivity.Store(int64(a.clock.Now()))
 		a.mu.Lock()
 		a.conns[c] = struct{}{}
@@ -183,7 +183,7 @@
 // Meanwhile other connections wait in the listener's queue while their clients' time runs. So if that queue has not
 // been empty for maxBacklogAge, it does not wait, unless most connections are of clients that have sent no command:
 // those close within moments.
-func (a *Front) awaitAcceptCapacity(b *backlog) bool {
+func (a *Acceptor) awaitAcceptCapacity(b *backlog) bool {
 	for i := 0; a.counts.ClientOpen.Load() > a.maxConns+overflowConns; i++ {
 		if i >= overflowConns || b.age() >= maxBacklogAge && !a.mostlySilent() {
 			return false
@@ -198,7 +198,7 @@
 }
 
 // mostlySilent reports whether more than half of the open connections have sent no valid command.
-func (a *Front) mostlySilent() bool {
+func (a *Acceptor) mostlySilent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	silent := 0
@@ -235,7 +235,7 @@
 // evicts the connections that have been quiet for longest, among those without pending replies that have been idle for
 // idleTimeout or have sent no command for firstBytesWait. So clients that keep an unused connection, or connect and send
 // nothing, do not keep out those that send commands. The connection requester, which may be nil, is not evicted.
-func (a *Front) ensureCapacity(requester *conn) bool {
+func (a *Acceptor) ensureCapacity(requester *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now, remaining := a.clock.Now(), int64(0)
@@ -267,7 +267,7 @@
 
 // awaitSessionCapacity waits briefly until there is capacity for the connection's session: connections that were
 // accepted just before may turn out to be evictable.
-func (a *Front) awaitSessionCapacity(c *conn) bool {
+func (a *Acceptor) awaitSessionCapacity(c *conn) bool {
 	for range 3 {
 		if a.ensureCapacity(c) {
 			return true
@@ -278,7 +278,7 @@
 }
 
 // claimID records the id of an open op. It returns false if another open op has this id.
-func (a *Front) claimID(id string) bool {
+func (a *Acceptor) claimID(id string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, open := a.openIDs[id]; open {
@@ -289,7 +289,7 @@
 }
 
 // releaseID removes the id of an op that has ended.
-func (a *Front) releaseID(id string) {
+func (a *Acceptor) releaseID(id string) {
 	a.mu.Lock()
 	delete(a.openIDs, id)
 	a.mu.Unlock()
@@ -298,9 +298,9 @@
 // conn is one client connection. Its reader goroutine owns readBuffer, openOps and finalReadDone, its writer goroutine
 // does all writes.
 type conn struct {
-	acceptor   *Front
+	acceptor   *Acceptor
 	net        *net.TCPConn
-	readBuffer pgwire.Window
+	readBuffer pgwire.ReadBuffer
 
 	// replies holds the replies in the order of their commands.
 	replies chan reply
--- a/internal/clientside/clientside_test.go
+++ b/internal/clientside/clientside_test.go
@@ -85,7 +85,7 @@
 }
 
 // startAcceptor starts an acceptor on a port of its own. The function stop stops it and waits for its end.
-func startAcceptor(t *testing.T, maxConns int, onTake func(*exchange.Exchange)) (a *Front, d *fakeDispatcher, addr string, stop func()) {
+func startAcceptor(t *testing.T, maxConns int, onTake func(*exchange.Exchange)) (a *Acceptor, d *fakeDispatcher, addr string, stop func()) {
 	t.Helper()
 	d = &fakeDispatcher{left: make(chan *exchange.Exchange, 1024), onTake: onTake}
 	settings := &deployment.Told{OpTypeNames: []string{"lookup", "save"}, ConnectTimeout: 30 * time.Millisecond}
@@ -225,19 +225,19 @@
 // more.
 func TestClientDisconnectIsDetectedBehindUnreadInput(t *testing.T) {
 	t.Parallel()
-	rejected := func(a *Front) bool { return a.counts.Malformed.Load() == 1 }
+	rejected := func(a *Acceptor) bool { return a.counts.Malformed.Load() == 1 }
 	for name, c := range map[string]struct {
 		input      []byte
 		more       string // sent once the condition holds
-		once       func(a *Front) bool
+		once       func(a *Acceptor) bool
 		disconnect func(c *standin.Client) error
 		want       int
 	}{
-		"many at once": {input: numberedQueries(300), once: func(a *Front) bool { return takenCount(a.dispatcher.(*fakeDispatcher)) == maxPendingCommands }, want: maxPendingCommands},
+		"many at once": {input: numberedQueries(300), once: func(a *Acceptor) bool { return takenCount(a.dispatcher.(*fakeDispatcher)) == maxPendingCommands }, want: maxPendingCommands},
 		"invalid":      {input: append(numberedQueries(1), "z\x00\x00\x00\x04"...), once: rejected, want: 1},
 		"a flood": {input: append(numberedQueries(1), "z\x00\x00\x00\x04"...), once: rejected, more: strings.Repeat("x", 3*maxFastDiscard),
 			want: 1},
-		"half closed": {input: numberedQueries(3), once: func(a *Front) bool { return takenCount(a.dispatcher.(*fakeDispatcher)) == 3 },
+		"half closed": {input: numberedQueries(3), once: func(a *Acceptor) bool { return takenCount(a.dispatcher.(*fakeDispatcher)) == 3 },
 			disconnect: func(c *standin.Client) error { return c.Conn.(*net.TCPConn).CloseWrite() }, want: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -102,30 +102,30 @@
 // startup reads startup packets until a session starts, and sends the replies.
 func (c *conn) startup() error {
 	for refused := 0; ; {
-		kind, size, err := pgwire.Startup(c.readBuffer.Bytes())
+		kind, size, err := pgwire.ParseStartup(c.readBuffer.Bytes())
 		if refused > 2 { // a client asks once for each kind of encryption
 			err = pgwire.ErrMalformed
 		}
 		if err != nil {
 			return c.reject(err)
 		}
-		c.readBuffer.Take(size)
+		c.readBuffer.Discard(size)
 		switch {
 		case size == 0:
 			if err := c.fill(); err != nil {
 				return err
 			}
-		case kind == pgwire.OpensEncryption:
+		case kind == pgwire.StartupEncryption:
 			refused++
 			c.enqueueBytes([]byte{'N'}) // encryption is not supported: the client continues without it
-		case kind == pgwire.OpensCancel:
+		case kind == pgwire.StartupCancel:
 			return errRejected
 		case !c.acceptor.awaitSessionCapacity(c):
 			c.acceptor.counts.ClientRefused.Add(1)
 			c.enqueueBytes(pgwire.AppendError(nil, "FATAL", "53300", "too many connections", ""))
 			return errRejected
 		default:
-			c.enqueueBytes(pgwire.AppendWelcome(nil))
+			c.enqueueBytes(pgwire.AppendStartupReply(nil))
 			return nil
 		}
 	}
@@ -162,7 +162,7 @@
 // close into a reset, which tells the client that the command was not processed.
 func (c *conn) fill() error {
 	for graceUsed := false; ; {
-		n, err := c.net.Read(c.readBuffer.Room())
+		n, err := c.net.Read(c.readBuffer.Space())
 		c.readBuffer.Filled(n)
 		switch {
 		case n > 0:
@@ -211,7 +211,7 @@
 			}
 			continue
 		}
-		n, err := c.net.Read(c.readBuffer.Room())
+		n, err := c.net.Read(c.readBuffer.Space())
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return errClientGone
 		}
@@ -267,16 +267,16 @@
 
 // handleQuery processes one command.
 func (c *conn) handleQuery(body []byte) error {
-	text, err := pgwire.Text(body)
+	text, err := pgwire.ParseString(body)
 	if err != nil {
 		return err
 	}
 	if trimmed := bytes.Trim(text, " ;\n\t"); len(trimmed) == 0 {
 		c.sentCommand.Store(true)
-		c.enqueueCommandReply(pgwire.AppendReady(pgwire.AppendMessage(nil, pgwire.EmptyQuery)))
+		c.enqueueCommandReply(pgwire.AppendReady(pgwire.AppendMessage(nil, pgwire.EmptyQueryResponse)))
 		return nil
 	}
-	s, err := pgwire.Describe(bytes.Clone(text)) // outlives the read buffer, as the op may be sent to a server again
+	s, err := pgwire.ParseStatement(bytes.Clone(text)) // outlives the read buffer, as the op may be sent to a server again
 	opType, known := c.acceptor.opTypes[string(s.OpType)]
 	switch {
 	case err != nil:
@@ -294,7 +294,7 @@
 	}
 	c.sentCommand.Store(true)
 	now := c.acceptor.clock.Now()
-	op := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), Again: s.Again,
+	op := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), Again: s.Retry,
 		Due: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout), Target: c.acceptor.settings.OpTypes[opType].Target, After: choice.LongPast, Done: make(chan struct{})}
 	if position, ok := c.acceptor.clock.FromUnix(s.After); ok {
 		op.After = position
--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -350,7 +350,7 @@
 // conn is a client's connection to a gateway.
 type conn struct {
 	net.Conn
-	window  pgwire.Window
+	window  pgwire.ReadBuffer
 	gateway int
 	used    bool // it has been asked on before
 	silent  bool // nothing has come since the last question
@@ -395,7 +395,7 @@
 // closed tells whether a gateway has closed a connection that nobody used.
 func (k *conn) closed() bool {
 	k.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-	n, err := k.Read(k.window.Room())
+	n, err := k.Read(k.window.Space())
 	k.window.Filled(n)
 	var timeout net.Error
 	return n > 0 || !(errors.As(err, &timeout) && timeout.Timeout())
@@ -422,7 +422,7 @@
 			return a, err
 		}
 		if !ok {
-			n, err := k.Read(k.window.Room())
+			n, err := k.Read(k.window.Space())
 			k.window.Filled(n)
 			if n == 0 && err != nil {
 				return a, err
@@ -434,13 +434,13 @@
 		case pgwire.ReadyForQuery:
 			return a, nil
 		case pgwire.DataRow:
-			v, err := pgwire.Column(m.Body)
+			v, err := pgwire.ParseSingleColumn(m.Body)
 			if err != nil {
 				return a, err
 			}
 			a.value = string(v)
 		case pgwire.ErrorResponse:
-			code, err := pgwire.Code(m.Body)
+			code, err := pgwire.ParseSQLState(m.Body)
 			if err != nil {
 				return a, err
 			}
@@ -453,7 +453,7 @@
 // detail is the time to come back, in milliseconds in field D.
 func detail(body []byte) time.Duration {
 	for len(body) > 1 {
-		value, rest, err := pgwire.CutText(body[1:])
+		value, rest, err := pgwire.CutString(body[1:])
 		if err != nil {
 			return 0
 		}
--- a/internal/loopback/fleet.go
+++ b/internal/loopback/fleet.go
@@ -194,18 +194,18 @@
 
 // serve answers one connection.
 func (s *server) serve(c net.Conn, life int) {
-	var w pgwire.Window
+	var w pgwire.ReadBuffer
 	read := func() bool {
-		n, err := c.Read(w.Room())
+		n, err := c.Read(w.Space())
 		w.Filled(n)
 		return err == nil || n > 0
 	}
 	for size := 0; size == 0; {
 		var err error
-		if _, size, err = pgwire.Startup(w.Bytes()); err != nil || size == 0 && !read() {
+		if _, size, err = pgwire.ParseStartup(w.Bytes()); err != nil || size == 0 && !read() {
 			return
 		}
-		w.Take(size)
+		w.Discard(size)
 	}
 	if s.waitWhileHung(life) {
 		return
@@ -214,7 +214,7 @@
 	handshake := time.Duration(float64(s.f.w.Servers.Handshake) / s.pace())
 	s.f.mu.Unlock()
 	time.Sleep(handshake) // what a new connection costs
-	if _, err := c.Write(pgwire.AppendWelcome(nil)); err != nil {
+	if _, err := c.Write(pgwire.AppendStartupReply(nil)); err != nil {
 		return
 	}
 	for {
--- a/internal/pgwire/answer.go
+++ b/internal/pgwire/answer.go
@@ -6,21 +6,21 @@
 // The queries of a gateway return one column with a short name, so most messages are short. The limits reject an
 // implausible length at once rather than when the bytes fail to arrive. Types with a limit of 0 are not accepted.
 var serverMessageLimits = [256]uint32{
-	Authentication:   64,
-	ParameterStatus:  1 << 10,
-	BackendKeyData:   512,
-	ReadyForQuery:    5,
-	RowDescription:   256,
-	DataRow:          math.MaxUint32, // limited by the reader's maximum only
-	CommandComplete:  128,
-	ErrorResponse:    8 << 10,
-	NoticeResponse:   8 << 10,
-	NotificationResp: 10 << 10,
+	Authentication:       64,
+	ParameterStatus:      1 << 10,
+	BackendKeyData:       512,
+	ReadyForQuery:        5,
+	RowDescription:       256,
+	DataRow:              math.MaxUint32, // limited by the reader's maximum only
+	CommandComplete:      128,
+	ErrorResponse:        8 << 10,
+	NoticeResponse:       8 << 10,
+	NotificationResponse: 10 << 10,
 }
 
 // NextServerMessage is like Next for messages from a server. It also rejects types that a server does not send here and
 // lengths above the limit of the type, and checks the header of a DataRow before the whole message has arrived.
-func NextAnswer(b []byte, maxLength int) (m Message, size int, err error) {
+func NextServerMessage(b []byte, maxLength int) (m Message, size int, err error) {
 	if len(b) == 0 {
 		return m, 0, nil
 	}
@@ -41,10 +41,10 @@
 }
 
 // HasOneColumn reports whether the body of a RowDescription describes exactly one column.
-func OneColumn(body []byte) bool {
+func HasOneColumn(body []byte) bool {
 	if len(body) < 2 || be.Uint16(body) != 1 {
 		return false
 	}
-	name, rest, err := CutText(body[2:])
+	name, rest, err := CutString(body[2:])
 	return err == nil && len(name) > 0 && len(rest) == 18
 }
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -9,26 +9,26 @@
 
 // The supported message types.
 const (
-	Query            = 'Q'
-	Terminate        = 'X'
-	Authentication   = 'R'
-	ParameterStatus  = 'S'
-	ReadyForQuery    = 'Z'
-	RowDescription   = 'T'
-	DataRow          = 'D'
-	CommandComplete  = 'C'
-	EmptyQuery       = 'I'
-	ErrorResponse    = 'E'
-	NoticeResponse   = 'N'
-	NotificationResp = 'A'
-	BackendKeyData   = 'K'
+	Query                = 'Q'
+	Terminate            = 'X'
+	Authentication       = 'R'
+	ParameterStatus      = 'S'
+	ReadyForQuery        = 'Z'
+	RowDescription       = 'T'
+	DataRow              = 'D'
+	CommandComplete      = 'C'
+	EmptyQueryResponse   = 'I'
+	ErrorResponse        = 'E'
+	NoticeResponse       = 'N'
+	NotificationResponse = 'A'
+	BackendKeyData       = 'K'
 )
 
 // Limits on the lengths that a peer may declare, in bytes, the length field included.
 const (
 	// DefaultMaxMessage has room for a value of 64 KiB in hexadecimal form and the rest of its message.
 	// A reader may allow longer messages.
-	MaxMessage = 160 << 10
+	DefaultMaxMessage = 160 << 10
 
 	// maxStartupLen is the limit of PostgreSQL itself for a startup packet.
 	maxStartupLen = 10000
@@ -81,23 +81,23 @@
 }
 
 // StartupKind is the kind of the first packet of a client.
-type Opening uint8
+type StartupKind uint8
 
 // The kinds of first packets.
 const (
 	// StartupSession is a StartupMessage, which starts a session.
-	OpensSession Opening = iota
+	StartupSession StartupKind = iota
 
 	// StartupEncryption is an SSLRequest or a GSSENCRequest.
-	OpensEncryption
+	StartupEncryption
 
 	// StartupCancel is a CancelRequest.
-	OpensCancel
+	StartupCancel
 )
 
 // ParseStartup parses the first packet of a client and returns its kind and its size in bytes. The size is 0 while the
 // packet is incomplete. A StartupMessage has to name a user.
-func Startup(b []byte) (kind Opening, size int, err error) {
+func ParseStartup(b []byte) (kind StartupKind, size int, err error) {
 	if len(b) < 8 {
 		if len(b) >= 4 && (be.Uint32(b) < 8 || be.Uint32(b) > maxStartupLen) {
 			return kind, 0, ErrMalformed
@@ -111,9 +111,9 @@
 	case len(b) < int(n):
 		return kind, 0, nil
 	case code == sslRequest || code == gssEncRequest:
-		return OpensEncryption, int(n), nil
+		return StartupEncryption, int(n), nil
 	case code == cancelRequest:
-		return OpensCancel, int(n), nil
+		return StartupCancel, int(n), nil
 	case code>>16 != protocolVersion3>>16:
 		return kind, 0, ErrVersion
 	}
@@ -126,7 +126,7 @@
 			if len(left) > 0 || !hasUser {
 				return kind, 0, ErrMalformed
 			}
-			return OpensSession, int(n), nil
+			return StartupSession, int(n), nil
 		}
 		hasUser = hasUser || string(name) == "user" && len(value) > 0
 		rest = left
@@ -135,14 +135,14 @@
 
 // cutPair cuts a null-terminated name and its null-terminated value off the front of b. An empty name has no value.
 func cutPair(b []byte) (name, value, rest []byte, err error) {
-	if name, rest, err = CutText(b); err == nil && len(name) > 0 {
-		value, rest, err = CutText(rest)
+	if name, rest, err = CutString(b); err == nil && len(name) > 0 {
+		value, rest, err = CutString(rest)
 	}
 	return name, value, rest, err
 }
 
 // CutString cuts a null-terminated string off the front of b.
-func CutText(b []byte) (s, rest []byte, err error) {
+func CutString(b []byte) (s, rest []byte, err error) {
 	for i, c := range b {
 		if c == 0 {
 			return b[:i], b[i+1:], nil
@@ -152,8 +152,8 @@
 }
 
 // ParseString parses a body that is a single null-terminated string, such as that of a Query.
-func Text(body []byte) ([]byte, error) {
-	s, rest, err := CutText(body)
+func ParseString(body []byte) ([]byte, error) {
+	s, rest, err := CutString(body)
 	if err == nil && len(rest) > 0 {
 		err = ErrMalformed
 	}
@@ -161,7 +161,7 @@
 }
 
 // ParseParameterStatus parses the body of a ParameterStatus.
-func Parameter(body []byte) (name, value []byte, err error) {
+func ParseParameterStatus(body []byte) (name, value []byte, err error) {
 	if name, value, rest, err := cutPair(body); err == nil && len(name) > 0 && len(rest) == 0 {
 		return name, value, nil
 	}
@@ -169,9 +169,9 @@
 }
 
 // ParseSQLState returns the SQLSTATE code in the body of an ErrorResponse.
-func Code(body []byte) (code []byte, err error) {
+func ParseSQLState(body []byte) (code []byte, err error) {
 	for len(body) > 0 && body[0] != 0 {
-		value, rest, err := CutText(body[1:])
+		value, rest, err := CutString(body[1:])
 		if err != nil {
 			return nil, err
 		}
@@ -187,7 +187,7 @@
 }
 
 // ParseSingleColumn returns the value in the body of a DataRow that has exactly one column. A null value is an error.
-func Column(body []byte) ([]byte, error) {
+func ParseSingleColumn(body []byte) ([]byte, error) {
 	if len(body) < 6 || be.Uint16(body) != 1 || uint64(be.Uint32(body[2:])) != uint64(len(body)-6) {
 		return nil, ErrMalformed
 	}
@@ -224,7 +224,7 @@
 
 // AppendStartupReply appends the reply to a StartupMessage: AuthenticationOk without a password, the ParameterStatus
 // messages and ReadyForQuery.
-func AppendWelcome(b []byte) []byte {
+func AppendStartupReply(b []byte) []byte {
 	b = AppendMessage(b, Authentication, "\x00\x00\x00\x00")
 	for _, p := range [][2]string{{"server_version", "15.0"}, {"server_encoding", "UTF8"},
 		{"client_encoding", "UTF8"}, {"integer_datetimes", "on"}, {"standard_conforming_strings", "on"}} {
--- a/internal/pgwire/statement.go
+++ b/internal/pgwire/statement.go
@@ -34,7 +34,7 @@
 	After int64
 
 	// Retry is true if the client sends the op again.
-	Again bool
+	Retry bool
 
 	// remainingStart is the offset in Text of the first digit of field d.
 	remainingStart int
@@ -44,7 +44,7 @@
 }
 
 // ParseStatement parses the first quoted string and the trailing comment of a statement.
-func Describe(text []byte) (*Statement, error) {
+func ParseStatement(text []byte) (*Statement, error) {
 	s := &Statement{Text: text}
 	trimmed := bytes.TrimRight(text, " ;\n")
 	commentStart := bytes.LastIndex(trimmed, []byte("/*"))
@@ -98,7 +98,7 @@
 		n, err = parseNumber(value, 43)
 		s.After = int64(n)
 	case "r":
-		s.Again = string(value) == "1"
+		s.Retry = string(value) == "1"
 	}
 	return err
 }
--- a/internal/pgwire/window.go
+++ b/internal/pgwire/window.go
@@ -2,9 +2,9 @@
 
 // ReadBuffer is the read buffer of one connection. Bytes are read into its free space and removed as messages, which
 // stay valid until the next call of Space.
-type Window struct {
+type ReadBuffer struct {
 	// MaxMessage is the greatest length of a message in bytes. Values below DefaultMaxMessage have no effect.
-	Most int
+	MaxMessage int
 
 	buf []byte
 
@@ -24,7 +24,7 @@
 )
 
 // Space returns free space to read into.
-func (b *Window) Room() []byte {
+func (b *ReadBuffer) Space() []byte {
 	if b.start == b.end {
 		b.start, b.end = 0, 0
 		if len(b.buf) > bufferSize {
@@ -42,29 +42,29 @@
 }
 
 // Filled records that n bytes were read into the free space.
-func (b *Window) Filled(n int) { b.end += n }
+func (b *ReadBuffer) Filled(n int) { b.end += n }
 
 // Bytes returns the bytes that were read and not yet removed.
-func (b *Window) Bytes() []byte { return b.buf[b.start:b.end] }
+func (b *ReadBuffer) Bytes() []byte { return b.buf[b.start:b.end] }
 
 // Discard removes n bytes from the front.
-func (b *Window) Take(n int) { b.start += n }
+func (b *ReadBuffer) Discard(n int) { b.start += n }
 
 // Next removes and returns the next message if all of it has been read.
-func (b *Window) Next() (m Message, ok bool, err error) {
-	return b.consume(Next(b.Bytes(), b.Longest()))
+func (b *ReadBuffer) Next() (m Message, ok bool, err error) {
+	return b.consume(Next(b.Bytes(), b.MessageLimit()))
 }
 
 // NextServerMessage is like Next for messages from a server.
-func (b *Window) NextAnswer() (m Message, ok bool, err error) {
-	return b.consume(NextAnswer(b.Bytes(), b.Longest()))
+func (b *ReadBuffer) NextServerMessage() (m Message, ok bool, err error) {
+	return b.consume(NextServerMessage(b.Bytes(), b.MessageLimit()))
 }
 
 // MessageLimit returns the greatest length of a message in bytes.
-func (b *Window) Longest() int { return max(b.Most, MaxMessage) }
+func (b *ReadBuffer) MessageLimit() int { return max(b.MaxMessage, DefaultMaxMessage) }
 
 // consume removes n bytes and passes on the result of a parser. A message was complete if n is greater than 0.
-func (b *Window) consume(m Message, n int, err error) (Message, bool, error) {
+func (b *ReadBuffer) consume(m Message, n int, err error) (Message, bool, error) {
 	b.start += n
 	return m, n > 0, err
 }
--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -29,7 +29,7 @@
 	pool       *Pool
 	server     uint32
 	net        net.Conn
-	readBuffer pgwire.Window
+	readBuffer pgwire.ReadBuffer
 
 	// query is the encoded query that is being written.
 	query []byte
@@ -53,7 +53,7 @@
 	}
 	defer netConn.Close()
 	p.counts.ServerConns.Add(1)
-	c := &conn{pool: p, server: j.server, net: netConn, readBuffer: pgwire.Window{Most: p.settings.LongestMessage}}
+	c := &conn{pool: p, server: j.server, net: netConn, readBuffer: pgwire.ReadBuffer{MaxMessage: p.settings.LongestMessage}}
 	deadline, _ := ctx.Deadline()
 	netConn.SetDeadline(deadline)
 	if !p.attach(j, c) || !c.startup() {
@@ -110,7 +110,7 @@
 		case m.Type == pgwire.Authentication && string(m.Body) != "\x00\x00\x00\x00":
 			return false
 		}
-		if bytesRead += 5 + len(m.Body); bytesRead > pgwire.MaxMessage {
+		if bytesRead += 5 + len(m.Body); bytesRead > pgwire.DefaultMaxMessage {
 			return false
 		}
 	}
@@ -138,7 +138,7 @@
 // awaitJob waits for the next job. It returns nil if the connection has to be closed.
 func (c *conn) awaitJob() *job {
 	p := c.pool
-	_, err := c.net.Read(c.readBuffer.Room()) // data or EOF closes the connection, a job ends the read
+	_, err := c.net.Read(c.readBuffer.Space()) // data or EOF closes the connection, a job ends the read
 	p.mu.Lock()
 	j := c.job
 	if j == nil && !c.closing {
@@ -167,7 +167,7 @@
 func (c *conn) staysQuiet() bool {
 	if quietUntil := c.releasedAt + c.pool.quietPeriod; c.pool.clock.Now() < quietUntil {
 		c.net.SetReadDeadline(c.pool.clock.Time(quietUntil))
-		_, err := c.net.Read(c.readBuffer.Room())
+		_, err := c.net.Read(c.readBuffer.Space())
 		return errors.Is(err, os.ErrDeadlineExceeded)
 	}
 	return true
--- a/internal/serverside/receive.go
+++ b/internal/serverside/receive.go
@@ -17,14 +17,14 @@
 // readMessage reads one message, which stays valid until the next call.
 func (c *conn) readMessage() (pgwire.Message, error) {
 	for {
-		m, ok, err := c.readBuffer.NextAnswer()
+		m, ok, err := c.readBuffer.NextServerMessage()
 		if ok || err != nil {
 			if err != nil {
 				c.pool.counts.MalformedAnswers.Add(1)
 			}
 			return m, err
 		}
-		n, err := c.net.Read(c.readBuffer.Room())
+		n, err := c.net.Read(c.readBuffer.Space())
 		c.readBuffer.Filled(n)
 		if n == 0 && err != nil {
 			return m, err
@@ -72,7 +72,7 @@
 
 // processMessage processes one message of a response. It returns errReady at the end of the response.
 func (c *conn) processMessage(j *job, m pgwire.Message, a *answer) error {
-	if a.bytesRead += 5 + len(m.Body); a.bytesRead > 2*c.readBuffer.Longest() {
+	if a.bytesRead += 5 + len(m.Body); a.bytesRead > 2*c.readBuffer.MessageLimit() {
 		return c.malformed()
 	}
 	switch m.Type {
@@ -88,17 +88,17 @@
 		}
 		a.lastType, a.complete = m.Type, m.Type == pgwire.CommandComplete
 	case pgwire.ErrorResponse:
-		code, err := pgwire.Code(m.Body)
+		code, err := pgwire.ParseSQLState(m.Body)
 		if err != nil || a.complete {
 			return c.malformed()
 		}
 		a.complete = true
 		a.Result = resultOfSQLState(string(code))
 	case pgwire.ParameterStatus:
-		if name, value, err := pgwire.Parameter(m.Body); err == nil { // a malformed one is ignored
+		if name, value, err := pgwire.ParseParameterStatus(m.Body); err == nil { // a malformed one is ignored
 			c.processParameter(string(name), string(value), a)
 		}
-	case pgwire.NoticeResponse, pgwire.NotificationResp:
+	case pgwire.NoticeResponse, pgwire.NotificationResponse:
 	case pgwire.ReadyForQuery:
 		if !a.complete || len(c.readBuffer.Bytes()) > 0 {
 			return c.malformed()
@@ -115,12 +115,12 @@
 func parseValueMessage(m pgwire.Message, lastType byte) (value []byte, valid bool) {
 	switch m.Type {
 	case pgwire.RowDescription:
-		return nil, lastType == 0 && pgwire.OneColumn(m.Body)
+		return nil, lastType == 0 && pgwire.HasOneColumn(m.Body)
 	case pgwire.DataRow:
-		value, err := pgwire.Column(m.Body)
+		value, err := pgwire.ParseSingleColumn(m.Body)
 		return value, lastType == pgwire.RowDescription && err == nil
 	}
-	_, err := pgwire.Text(m.Body)
+	_, err := pgwire.ParseString(m.Body)
 	return nil, lastType == pgwire.DataRow && err == nil
 }
 
--- a/internal/serverside/serverside_test.go
+++ b/internal/serverside/serverside_test.go
@@ -67,7 +67,7 @@
 
 func newOp(t *testing.T) *exchange.Exchange {
 	t.Helper()
-	s, err := pgwire.Describe([]byte("SELECT data FROM facts WHERE code = 'k' /* id=1,c=lookup,d=400,cluster=3 */"))
+	s, err := pgwire.ParseStatement([]byte("SELECT data FROM facts WHERE code = 'k' /* id=1,c=lookup,d=400,cluster=3 */"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +225,7 @@
 		if err == nil {
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(5 * time.Second))
-			c.Write(pgwire.AppendWelcome(nil))
+			c.Write(pgwire.AppendStartupReply(nil))
 			io.ReadFull(c, make([]byte, len(pgwire.AppendStartup(nil, user, database))+1))
 			c.Write([]byte("noise"))
 			_, err = io.Copy(io.Discard, c)
@@ -248,7 +248,7 @@
 }
 
 func TestSurplusAfterStartupReplyFailsConnection(t *testing.T) {
-	p, ended := newPool(t, 8, &standin.Database{Welcome: append(pgwire.AppendWelcome(nil), standin.Row("v", "replica", 1)...)})
+	p, ended := newPool(t, 8, &standin.Database{Welcome: append(pgwire.AppendStartupReply(nil), standin.Row("v", "replica", 1)...)})
 	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.NoConnection || p.counts.Sent.Load() != 0 {
 		t.Errorf("got %+v, want result NoConnection and nothing sent", r)
@@ -525,7 +525,7 @@
 	defer clientEnd.Close()
 	serverEnd.Close()
 	c := &conn{pool: p, server: testServer, net: clientEnd}
-	c.readBuffer.Filled(copy(c.readBuffer.Room(), "unread"))
+	c.readBuffer.Filled(copy(c.readBuffer.Space(), "unread"))
 	if !standin.Breaks(func() { c.execute(&job{startBy: p.testDeadline(), deadline: p.testDeadline()}) }) {
 		t.Error("a connection with unread bytes breaks no invariant")
 	}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -44,20 +44,20 @@
 
 func (d *Database) serve(c net.Conn) {
 	defer c.Close()
-	var w pgwire.Window
+	var w pgwire.ReadBuffer
 	for size := 0; size == 0; {
 		var err error
-		if _, size, err = pgwire.Startup(w.Bytes()); err != nil || size == 0 && fill(c, &w) != nil {
+		if _, size, err = pgwire.ParseStartup(w.Bytes()); err != nil || size == 0 && fill(c, &w) != nil {
 			return
 		}
-		w.Take(size)
+		w.Discard(size)
 	}
 	if d.Comes != nil {
 		d.Comes()
 	}
 	welcome := d.Welcome
 	if welcome == nil {
-		welcome = pgwire.AppendWelcome(nil)
+		welcome = pgwire.AppendStartupReply(nil)
 	}
 	if _, err := c.Write(welcome); err != nil {
 		return
@@ -81,8 +81,8 @@
 	}
 }
 
-func fill(c net.Conn, w *pgwire.Window) error {
-	n, err := c.Read(w.Room())
+func fill(c net.Conn, w *pgwire.ReadBuffer) error {
+	n, err := c.Read(w.Space())
 	w.Filled(n)
 	if n > 0 {
 		return nil
@@ -114,7 +114,7 @@
 // Client is one connection of a client.
 type Client struct {
 	net.Conn
-	window pgwire.Window
+	window pgwire.ReadBuffer
 }
 
 // Dial connects and is let in.
@@ -172,14 +172,14 @@
 		case pgwire.ReadyForQuery:
 			return short, nil
 		case pgwire.DataRow:
-			value, err := pgwire.Column(m.Body)
+			value, err := pgwire.ParseSingleColumn(m.Body)
 			if err != nil {
 				return short, err
 			}
 			short += string(value)
 		case pgwire.ErrorResponse:
 			short += fields(m.Body)
-		case pgwire.EmptyQuery:
+		case pgwire.EmptyQueryResponse:
 			short += "I"
 		}
 	}
@@ -188,7 +188,7 @@
 // fields is the code and the detail of an ErrorResponse.
 func fields(body []byte) (short string) {
 	for len(body) > 1 {
-		value, rest, err := pgwire.CutText(body[1:])
+		value, rest, err := pgwire.CutString(body[1:])
 		if err != nil {
 			return short
 		}
