--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -544,7 +544,7 @@
 		}
 		g.decider.List(g.here(), scope, g.listMsg)
 		if g.node != nil && scope != choice.ListFailed {
-			g.node.Servers(g.node.here(), len(g.w.lists.order))
+			g.node.SetServerCount(g.node.here(), len(g.w.lists.order))
 		}
 	})
 }
--- a/internal/emulator/gossips.go
+++ b/internal/emulator/gossips.go
@@ -53,9 +53,9 @@
 }
 
 // setup is what an instance's node is told.
-func (gs *gossips) setup(i int, life int) gossip.Setup {
+func (gs *gossips) setup(i int, life int) gossip.Config {
 	w := &gs.r.world.Gossip
-	return gossip.Setup{Name: fmt.Sprintf("g%04d", i), Key: gossip.KeyID{byte(i >> 8), byte(i), 1}, Run: mix(gs.r.seed ^ uint64(i)<<16 ^ uint64(life)),
+	return gossip.Config{Name: fmt.Sprintf("g%04d", i), Key: gossip.KeyID{byte(i >> 8), byte(i), 1}, Run: mix(gs.r.seed ^ uint64(i)<<16 ^ uint64(life)),
 		Seed: mix(gs.r.seed + uint64(i)), Addr: address(i), Seeds: []netip.AddrPort{address(0), address(min(1, gs.r.world.Gateways.Count-1))},
 		ProbeEvery: w.ProbeEvery, ProbeTimeout: w.ProbeTimeout, SuspectFor: w.SuspectFor, TellEvery: w.TellEvery, SyncEvery: w.SyncEvery,
 		RumourLife: w.RumourLife, Members: w.Members, Rumours: w.Rumours, RumoursPerObserver: w.RumoursPerObserver,
@@ -153,12 +153,12 @@
 	}
 	x := gs.nodes[i]
 	x.later(2*n.way(x), func() {
-		items := x.Asked(x.here(), d, address(n.g.index).Addr())
+		items := x.ExchangeRequested(x.here(), d, address(n.g.index).Addr())
 		x.charge(items.Bytes())
 		n.later(n.way(x), func() {
-			if give := n.Exchanged(n.here(), items); give != nil {
+			if give := n.ExchangeAnswered(n.here(), items); give != nil {
 				n.charge(give.Bytes())
-				x.later(n.way(x), func() { x.Given(x.here(), give) })
+				x.later(n.way(x), func() { x.ExchangeCompleted(x.here(), give) })
 			}
 		})
 	})
@@ -178,7 +178,7 @@
 	})
 }
 
-func (n *instance) Rumoured(server uint64, weight float64) {
+func (n *instance) WeightChanged(server uint64, weight float64) {
 	if server >= 1 && server <= uint64(len(n.gs.r.servers)) && n.g.decider != nil && n.g.node == n {
 		n.g.decider.Rumour(n.g.here(), uint32(server), weight)
 	}
@@ -205,7 +205,7 @@
 		return
 	}
 	s := gossip.Symptom(t)
-	n.Symptom(n.here(), uint64(server), s, s.Strength())
+	n.ReportSymptom(n.here(), uint64(server), s, s.Strength())
 }
 
 func (n *instance) acked(s *server, sentAt time.Duration) {
--- a/internal/emulator/liar.go
+++ b/internal/emulator/liar.go
@@ -18,7 +18,7 @@
 	rng    *rand.Rand
 	number uint32
 	turn   int
-	kept   []gossip.Told // of others, to be said again later
+	kept   []gossip.RelayedRumour // of others, to be said again later
 	keptAt []time.Duration
 	over   bool
 }
@@ -76,9 +76,9 @@
 }
 
 // rumour is one in its own name.
-func (l *liar) rumour(server uint32, what gossip.Symptom) gossip.Told {
+func (l *liar) rumour(server uint32, what gossip.Symptom) gossip.RelayedRumour {
 	l.number++
-	return gossip.Told{Rumour: gossip.Rumour{Observer: l.n.name, Key: l.n.key, Run: l.n.run, Server: uint64(server), Symptom: what,
+	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.n.name, Key: l.n.key, Run: l.n.run, Server: uint64(server), Symptom: what,
 		Strength: 255, Number: l.number, Made: l.n.here()}}
 }
 
--- a/internal/gossip/carrier/attrs.go
+++ b/internal/gossip/carrier/attrs.go
@@ -14,10 +14,10 @@
 func (c *Carrier) attrs() (all []slog.Attr) {
 	members := [4]int64{} // by standing
 	for _, p := range c.node.Peers() {
-		members[p.Standing]++
+		members[p.Status]++
 	}
-	all = append(all, slog.Int64("alive", members[gossip.IsAlive]), slog.Int64("suspect", members[gossip.IsSuspect]),
-		slog.Int64("dead", members[gossip.IsDead]), slog.Int64("left", members[gossip.HasLeft]))
+	all = append(all, slog.Int64("alive", members[gossip.StatusAlive]), slog.Int64("suspect", members[gossip.StatusSuspect]),
+		slog.Int64("dead", members[gossip.StatusDead]), slog.Int64("left", members[gossip.StatusLeft]))
 	nodeCounts := reflect.ValueOf(c.node.Counts())
 	for i := range nodeCounts.NumField() {
 		all = append(all, slog.Int64(snakeCase(nodeCounts.Type().Field(i).Name), nodeCounts.Field(i).Int()))
--- a/internal/gossip/carrier/carrier.go
+++ b/internal/gossip/carrier/carrier.go
@@ -135,8 +135,8 @@
 	c.codec = wire.NewBook(keyring, settings.Cluster, runID, settings.Limits.Members, time.Now)
 	c.certNotAfter = time.Unix(keyring.Certificate.NotAfter, 0)
 	limits := &settings.Limits
-	c.node = gossip.New(c, gossip.Setup{Name: name, Key: keyring.Certificate.Key(), Run: runID, Seed: rand.Uint64(), Addr: ownAddr,
-		Learn: ownAddr.Addr().IsUnspecified(), ProbeEvery: settings.ProbeEvery, ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor,
+	c.node = gossip.New(c, gossip.Config{Name: name, Key: keyring.Certificate.Key(), Run: runID, Seed: rand.Uint64(), Addr: ownAddr,
+		LearnAddr: ownAddr.Addr().IsUnspecified(), ProbeEvery: settings.ProbeEvery, ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor,
 		TellEvery: settings.TellEvery, SyncEvery: settings.SyncEvery, RumourLife: settings.RumourLife, Members: limits.Members, Rumours: limits.Rumours,
 		RumoursPerObserver: limits.RumoursPerObserver, ObserversPerServer: limits.ObserversPerServer, Datagram: int(limits.Datagram),
 		DatagramsPerTell: limits.DatagramsPerTell, BytesPerSecond: int(limits.BytesPerSecond), Seeds: c.resolveSeeds(context.Background(), true)})
@@ -229,7 +229,7 @@
 		seeds := c.resolveSeeds(limited, false)
 		cancel()
 		if len(seeds) > 0 {
-			c.enqueue(func() { c.node.Reseed(c.clock.Now(), seeds) })
+			c.enqueue(func() { c.node.SetSeeds(c.clock.Now(), seeds) })
 		}
 		select {
 		case <-ctx.Done():
@@ -331,7 +331,7 @@
 func (c *Carrier) Wake(at time.Duration) { c.timer.Reset(max(0, at-c.clock.Now())) }
 
 // Rumoured reports the weight of a server's rumours to the gateway if its list names the server.
-func (c *Carrier) Rumoured(server uint64, weight float64) {
+func (c *Carrier) WeightChanged(server uint64, weight float64) {
 	c.mu.Lock()
 	id, ok := c.serverByHash[server]
 	c.mu.Unlock()
@@ -418,7 +418,7 @@
 		c.enqueue(func() {
 			now := c.clock.Now()
 			c.node.Recovered(now, hash)
-			c.node.Servers(now, c.listedServerCount())
+			c.node.SetServerCount(now, c.listedServerCount())
 		})
 	}
 }
@@ -447,7 +447,7 @@
 	}
 	c.enqueue(func() {
 		now := c.clock.Now()
-		c.node.Servers(now, c.listedServerCount())
+		c.node.SetServerCount(now, c.listedServerCount())
 		for _, id := range added {
 			c.mu.Lock()
 			hash, ok := c.hashByServer[id]
@@ -498,7 +498,7 @@
 			c.node.Recovered(now, h)
 		default:
 			s := gossip.Symptom(t)
-			c.node.Symptom(now, h, s, s.Strength())
+			c.node.ReportSymptom(now, h, s, s.Strength())
 		}
 	}
 }
--- a/internal/gossip/carrier/stream.go
+++ b/internal/gossip/carrier/stream.go
@@ -210,7 +210,7 @@
 		if a := d.Own.Addr; a.Addr().IsUnspecified() {
 			d.Own.Addr = netip.AddrPortFrom(remote, a.Port())
 		}
-		return c.node.Asked(c.clock.Now(), d, remote)
+		return c.node.ExchangeRequested(c.clock.Now(), d, remote)
 	})
 	if err != nil {
 		return err
@@ -224,7 +224,7 @@
 	}
 	items, err := c.decodeItems(raw)
 	if err == nil {
-		c.enqueue(func() { c.node.Given(c.clock.Now(), items) })
+		c.enqueue(func() { c.node.ExchangeCompleted(c.clock.Now(), items) })
 	}
 	return err
 }
@@ -307,7 +307,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := callNode(c, func() *gossip.Items { return c.node.Exchanged(c.clock.Now(), items) })
+	reply, err := callNode(c, func() *gossip.Items { return c.node.ExchangeAnswered(c.clock.Now(), items) })
 	if err != nil {
 		return err
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -29,20 +29,20 @@
 	Wake(at time.Duration)
 	// WeightChanged reports the new sum of the weights of the observers that say that a server is in trouble; 0 means that
 	// none does any more.
-	Rumoured(server uint64, weight float64)
+	WeightChanged(server uint64, weight float64)
 	// Log reports an event that an operator wants to know of. It is called rarely.
 	Log(event, name string)
 }
 
 // Config holds the settings of a node.
-type Setup struct {
-	Name  string           // unique among the instances
-	Key   KeyID            // of the key that signs the instance's claims and rumours
-	Run   uint64           // drawn anew at each start, so that two runs under one name can be told apart
-	Seed  uint64           // of the node's random numbers
-	Addr  netip.AddrPort   // under which the others reach the instance
-	Learn bool             // the host part of Addr is unknown and is learned from the others
-	Seeds []netip.AddrPort // instances through which the node joins
+type Config struct {
+	Name      string           // unique among the instances
+	Key       KeyID            // of the key that signs the instance's claims and rumours
+	Run       uint64           // drawn anew at each start, so that two runs under one name can be told apart
+	Seed      uint64           // of the node's random numbers
+	Addr      netip.AddrPort   // under which the others reach the instance
+	LearnAddr bool             // the host part of Addr is unknown and is learned from the others
+	Seeds     []netip.AddrPort // instances through which the node joins
 
 	ProbeEvery   time.Duration // period of probe rounds
 	ProbeTimeout time.Duration // after which an unanswered probe is tried through other members
@@ -78,7 +78,7 @@
 // Node is the state machine of one instance.
 type Node struct {
 	host   Host
-	config Setup
+	config Config
 	rng    *rand.Rand
 
 	own              Claim                          // the instance's claim about itself; holds its current incarnation
@@ -115,7 +115,7 @@
 }
 
 // New returns a node that does nothing until Start is called.
-func New(h Host, c Setup) *Node {
+func New(h Host, c Config) *Node {
 	n := &Node{host: h, config: c, rng: rand.New(rand.NewPCG(c.Seed, c.Run)), byName: map[string]*member{}, byKey: map[KeyID]*member{},
 		serversByID: map[uint64]*server{}, observedAddrs: map[netip.Addr]map[string]bool{}}
 	n.rumours.byObserver = map[string][]*entry{}
@@ -265,7 +265,7 @@
 }
 
 // SetSeeds replaces the addresses of the seeds.
-func (n *Node) Reseed(now time.Duration, seeds []netip.AddrPort) {
+func (n *Node) SetSeeds(now time.Duration, seeds []netip.AddrPort) {
 	n.config.Seeds = seeds
 	if !n.joined {
 		n.wakeBy(n.joinAt)
@@ -282,7 +282,7 @@
 
 // SetServerCount sets how many servers the decision module knows of. An instance that finds most of them in trouble does
 // not announce it.
-func (n *Node) Servers(now time.Duration, count int) { n.serverCount = count }
+func (n *Node) SetServerCount(now time.Duration, count int) { n.serverCount = count }
 
 // randomMembers draws up to count distinct members for which fits returns true.
 func (n *Node) randomMembers(count int, fits func(*member) bool) (drawn []*member) {
@@ -360,30 +360,30 @@
 }
 
 // Status is the state of a member as this instance judges it.
-type Standing uint8
+type Status uint8
 
 // The statuses, in the order of the values of memberState.
 const (
-	IsAlive   Standing = iota // answers, as far as is known
-	IsSuspect                 // has failed a probe of this instance
-	IsDead                    // has stayed silent for the whole suspicion
-	HasLeft                   // has left by its own claim, or its key no longer counts
+	StatusAlive   Status = iota // answers, as far as is known
+	StatusSuspect               // has failed a probe of this instance
+	StatusDead                  // has stayed silent for the whole suspicion
+	StatusLeft                  // has left by its own claim, or its key no longer counts
 )
 
 // Peer describes a member as this instance holds it.
 type Peer struct {
-	Name     string
-	Key      KeyID
-	Addr     netip.AddrPort
-	Standing Standing
-	Credit   float64 // weight of its rumours about servers, from 0 to 1
+	Name   string
+	Key    KeyID
+	Addr   netip.AddrPort
+	Status Status
+	Credit float64 // weight of its rumours about servers, from 0 to 1
 }
 
 // Peers lists the members in order of arrival, without the instance itself.
 func (n *Node) Peers() []Peer {
 	peers := make([]Peer, len(n.members))
 	for i, m := range n.members {
-		peers[i] = Peer{m.name, m.key, m.addr, Standing(m.state), m.credit(n.lastActiveAt)}
+		peers[i] = Peer{m.name, m.key, m.addr, Status(m.state), m.credit(n.lastActiveAt)}
 	}
 	return peers
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -62,7 +62,7 @@
 }
 
 // RelayedRumour is a rumour as it is passed on, with its age by the sender's knowledge. The age can only make it older.
-type Told struct {
+type RelayedRumour struct {
 	Rumour
 	Age time.Duration
 }
@@ -74,21 +74,21 @@
 const (
 	Ping    Kind = iota + 1 // requests an Ack with the same number
 	Ack                     // answers a Ping; has a fresh claim of the probed member where it answers for another
-	PingFor                 // requests a ping of Target, and an Ack with Target's claim about itself
+	PingReq                 // requests a ping of Target, and an Ack with Target's claim about itself
 	Nack                    // answers a PingReq when Target has not answered so far; shows that the helper itself is alive
 	Tell                    // carries updates only
 )
 
 // Message is the content of one datagram.
 type Message struct {
-	Kind     Kind
-	Number   uint32         // of the probe
-	Prove    bool           // for a Ping on behalf of another: requests a fresh claim in the Ack, as proof to pass on
-	Target   string         // of a PingReq: name of the member to ping
-	TargetAt netip.AddrPort // of a PingReq: address of Target as the requester knows it
-	Clock    time.Duration  // time since the sender's start
-	Claims   []Claim
-	Rumours  []Told
+	Kind       Kind
+	Number     uint32         // of the probe
+	WantClaim  bool           // for a Ping on behalf of another: requests a fresh claim in the Ack, as proof to pass on
+	Target     string         // of a PingReq: name of the member to ping
+	TargetAddr netip.AddrPort // of a PingReq: address of Target as the requester knows it
+	Clock      time.Duration  // time since the sender's start
+	Claims     []Claim
+	Rumours    []RelayedRumour
 }
 
 // Datagram is a message as received. Its sender is authenticated, and everything in it is signed by those that it names.
@@ -134,27 +134,27 @@
 
 // Fingerprint stands for a claim, a rumour or a name in a digest: a hash of what identifies it. Collisions are rare, and
 // cost no more than that one of the two is missed until the next exchange with another instance.
-type Mark uint32
+type Fingerprint uint32
 
 // Digest summarizes what an instance holds. The receiver compares it with what it holds itself, so that each side can be
 // sent what it missed.
 type Digest struct {
-	Own     Claim  // of the sender about itself
-	Members []Mark // of each member's newest claim
-	Dead    []Mark // of the names of the members held dead
-	Rumours []Mark // of the rumours held
+	Own     Claim         // of the sender about itself
+	Members []Fingerprint // of each member's newest claim
+	Dead    []Fingerprint // of the names of the members held dead
+	Rumours []Fingerprint // of the rumours held
 }
 
 // Items holds what one side of an exchange sends the other after comparing digests.
 type Items struct {
-	Claims  []Claim
-	Rumours []Told
-	Wants   []Mark // of claims that the receiver holds and the sender lacks
-	Lacks   []Mark // of rumours that the receiver holds and the sender lacks
+	Claims         []Claim
+	Rumours        []RelayedRumour
+	MissingClaims  []Fingerprint // of claims that the receiver holds and the sender lacks
+	MissingRumours []Fingerprint // of rumours that the receiver holds and the sender lacks
 	// Of the names of members that the sender holds alive and the receiver dead, and of the receiver's own name if another
 	// run holds it at the sender.
-	Alive  []Mark
-	SeenAt netip.Addr // address from which the receiver's request came
+	Reachable    []Fingerprint
+	ObservedAddr netip.Addr // address from which the receiver's request came
 }
 
 // Bytes returns an upper bound on the size of a digest on a stream.
@@ -164,7 +164,7 @@
 
 // Bytes returns an upper bound on the size of the items on a stream.
 func (i *Items) Bytes() int {
-	n := maxStreamOverheadBytes + 5*(len(i.Wants)+len(i.Lacks)+len(i.Alive))
+	n := maxStreamOverheadBytes + 5*(len(i.MissingClaims)+len(i.MissingRumours)+len(i.Reachable))
 	for j := range i.Claims {
 		n += i.Claims[j].maxBytes()
 	}
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -122,7 +122,7 @@
 			if p.target.state != dead { // no indirect pings for a dead member that is merely retried
 				for _, h := range n.randomMembers(probeHelpers, func(h *member) bool { return h != p.target && h.state == alive }) {
 					p.helpersAsked++
-					n.send(now, h, &Message{Kind: PingFor, Number: p.number, Target: p.target.name, TargetAt: p.target.addr})
+					n.send(now, h, &Message{Kind: PingReq, Number: p.number, Target: p.target.name, TargetAddr: p.target.addr})
 				}
 			}
 		}
@@ -159,7 +159,7 @@
 	switch msg.Kind {
 	case Ping:
 		ack := &Message{Kind: Ack, Number: msg.Number}
-		if msg.Prove {
+		if msg.WantClaim {
 			ack.Claims = []Claim{n.selfClaim(now)}
 		}
 		n.send(now, m, n.withUpdates(now, m, ack))
@@ -172,12 +172,12 @@
 			n.relayedPings = slices.Delete(n.relayedPings, i, i+1)
 			n.send(now, r.requester, &Message{Kind: Ack, Number: r.requesterNumber, Claims: []Claim{m.claim}})
 		}
-	case PingFor:
+	case PingReq:
 		if to := n.byName[msg.Target]; to != nil && to != m && len(n.relayedPings) < 4*probeHelpers && to.state != left {
 			n.lastProbeNumber++
 			n.relayedPings = append(n.relayedPings, &relayedPing{number: n.lastProbeNumber, target: to, requesterNumber: msg.Number,
 				requester: m, nackAt: now + n.config.ProbeTimeout, deadline: now + n.config.ProbeEvery})
-			n.send(now, to, &Message{Kind: Ping, Number: n.lastProbeNumber, Prove: true})
+			n.send(now, to, &Message{Kind: Ping, Number: n.lastProbeNumber, WantClaim: true})
 		}
 	case Nack:
 		for _, p := range n.probes {
--- a/internal/gossip/rumour.go
+++ b/internal/gossip/rumour.go
@@ -66,7 +66,7 @@
 }
 
 // handleRumour handles a rumour, whoever passed it on.
-func (n *Node) handleRumour(now time.Duration, relayed *Told) {
+func (n *Node) handleRumour(now time.Duration, relayed *RelayedRumour) {
 	r := &relayed.Rumour
 	m := n.byName[r.Observer]
 	if r.Observer == n.config.Name {
@@ -231,7 +231,7 @@
 	}
 	if w := s.totalWeight(now); w != s.weight && (w == 0 || w-s.weight > minDifference || s.weight-w > minDifference) {
 		s.weight = w
-		n.host.Rumoured(id, w)
+		n.host.WeightChanged(id, w)
 	}
 	if len(s.entries) == 0 && s.own.Symptom == Well {
 		delete(n.serversByID, id)
@@ -276,7 +276,7 @@
 
 // ReportSymptom is called whenever this instance has itself observed a server in trouble. It must never be called because of
 // rumours, as rumours would then cause further rumours.
-func (n *Node) Symptom(now time.Duration, id uint64, symptom Symptom, strength uint8) {
+func (n *Node) ReportSymptom(now time.Duration, id uint64, symptom Symptom, strength uint8) {
 	n.detectPause(now)
 	if symptom == Well {
 		n.Recovered(now, id)
--- a/internal/gossip/sim_test.go
+++ b/internal/gossip/sim_test.go
@@ -74,10 +74,10 @@
 }
 
 // start starts a run of the instance that has no state of earlier runs.
-func (h *simNode) start(adjust func(*Setup)) {
+func (h *simNode) start(adjust func(*Config)) {
 	h.run = h.net.rng.Uint64()
 	h.startedAt, h.counter, h.down, h.weights = h.net.now, 0, false, map[uint64]float64{}
-	c := Setup{Name: fmt.Sprintf("n%03d", h.index), Key: KeyID{byte(h.index >> 8), byte(h.index), 1}, Run: h.run,
+	c := Config{Name: fmt.Sprintf("n%03d", h.index), Key: KeyID{byte(h.index >> 8), byte(h.index), 1}, Run: h.run,
 		Seed: uint64(h.index), Addr: nodeAddr(h.index), Seeds: []netip.AddrPort{nodeAddr(0), nodeAddr(1)}, ProbeEvery: time.Second, ProbeTimeout: 400 * time.Millisecond,
 		SuspectFor: 4 * time.Second, TellEvery: 200 * time.Millisecond, SyncEvery: 20 * time.Second, RumourLife: 30 * time.Second,
 		Members: 512, Rumours: 2048, RumoursPerObserver: 64, ObserversPerServer: 5,
@@ -166,10 +166,10 @@
 		return
 	}
 	peer.scheduleHere(net.randomDelay(), func() {
-		items := peer.Asked(peer.localTime(), d, nodeAddr(h.index).Addr())
+		items := peer.ExchangeRequested(peer.localTime(), d, nodeAddr(h.index).Addr())
 		h.scheduleHere(net.randomDelay(), func() {
-			if give := h.Exchanged(h.localTime(), items); give != nil {
-				peer.scheduleHere(net.randomDelay(), func() { peer.Given(peer.localTime(), give) })
+			if give := h.ExchangeAnswered(h.localTime(), items); give != nil {
+				peer.scheduleHere(net.randomDelay(), func() { peer.ExchangeCompleted(peer.localTime(), give) })
 			}
 		})
 	})
@@ -185,16 +185,16 @@
 	})
 }
 
-func (h *simNode) Rumoured(server uint64, weight float64) { h.weights[server] = weight }
-func (h *simNode) Log(event, name string)                 { h.log = append(h.log, event+" "+name) }
+func (h *simNode) WeightChanged(server uint64, weight float64) { h.weights[server] = weight }
+func (h *simNode) Log(event, name string)                      { h.log = append(h.log, event+" "+name) }
 
 // countStatuses counts the members by status, over all running instances.
-func (net *simNetwork) countStatuses() map[Standing]int {
-	counts := map[Standing]int{}
+func (net *simNetwork) countStatuses() map[Status]int {
+	counts := map[Status]int{}
 	for _, h := range net.nodes {
 		if !h.down {
 			for _, p := range h.Peers() {
-				counts[p.Standing]++
+				counts[p.Status]++
 			}
 		}
 	}
@@ -214,7 +214,7 @@
 func TestMembersDiscoverEachOtherThroughSeed(t *testing.T) {
 	net := newSimNetwork(t, 50, 1)
 	net.run(60 * time.Second)
-	if got := net.countStatuses(); got[IsAlive] != 50*49 || len(got) != 1 {
+	if got := net.countStatuses(); got[StatusAlive] != 50*49 || len(got) != 1 {
 		t.Errorf("got members by status %v, want 2450 alive and no others", got)
 	}
 }
@@ -223,7 +223,7 @@
 	net := newSimNetwork(t, 50, 2)
 	net.run(60 * time.Second)
 	h := net.nodes[7]
-	h.Symptom(h.localTime(), 99, Silent, 255)
+	h.ReportSymptom(h.localTime(), 99, Silent, 255)
 	announcedAt := net.now
 	for net.countInformed(99) < 49 && net.now < announcedAt+10*time.Second {
 		net.run(net.now + 50*time.Millisecond)
@@ -249,11 +249,11 @@
 	net := newSimNetwork(t, 50, 3)
 	net.run(60 * time.Second)
 	h := net.nodes[20]
-	h.Symptom(h.localTime(), 99, Silent, 255)
+	h.ReportSymptom(h.localTime(), 99, Silent, 255)
 	net.run(net.now + 2*time.Second)
 	h.down = true
 	net.run(net.now + 12*time.Second)
-	if got := net.countStatuses(); got[IsDead] != 49 || got[IsSuspect] > 0 {
+	if got := net.countStatuses(); got[StatusDead] != 49 || got[StatusSuspect] > 0 {
 		t.Errorf("got members by status %v, want 49 dead and none suspect", got)
 	}
 	if net.countInformed(99) > 0 {
@@ -261,7 +261,7 @@
 	}
 	h.start(nil)
 	net.run(net.now + 30*time.Second)
-	if got := net.countStatuses(); got[IsAlive] != 50*49 {
+	if got := net.countStatuses(); got[StatusAlive] != 50*49 {
 		t.Errorf("got members by status %v after the restart, want 2450 alive", got)
 	}
 }
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -107,7 +107,7 @@
 				limit -= size
 				*room -= size
 				u.transmissions++
-				msg.Rumours = append(msg.Rumours, Told{u.rumour.Rumour, u.rumour.age(now)})
+				msg.Rumours = append(msg.Rumours, RelayedRumour{u.rumour.Rumour, u.rumour.age(now)})
 			}
 		case u.subject == to.name && u.claim.Kind != Accused:
 			u.transmissions++ // the member itself needs no claim of its own
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -15,17 +15,17 @@
 )
 
 // fingerprint stands for the newest claim of the member.
-func (m *member) fingerprint() Mark {
-	return Mark(m.hash ^ m.claim.Run ^ uint64(m.claim.Incarnation)*0x9e3779b97f4a7c15>>7 ^ uint64(m.claim.Kind)<<13)
+func (m *member) fingerprint() Fingerprint {
+	return Fingerprint(m.hash ^ m.claim.Run ^ uint64(m.claim.Incarnation)*0x9e3779b97f4a7c15>>7 ^ uint64(m.claim.Kind)<<13)
 }
 
 // fingerprint stands for the rumour.
-func (e *entry) fingerprint() Mark {
-	return Mark(hash(e.Observer) ^ e.Server*0x9e3779b97f4a7c15>>9 ^ uint64(e.Number)*0xd6e8feb86659fd93>>11)
+func (e *entry) fingerprint() Fingerprint {
+	return Fingerprint(hash(e.Observer) ^ e.Server*0x9e3779b97f4a7c15>>9 ^ uint64(e.Number)*0xd6e8feb86659fd93>>11)
 }
 
 // nameFingerprint stands for a name, given its hash.
-func nameFingerprint(hash uint64) Mark { return Mark(hash >> 17) }
+func nameFingerprint(hash uint64) Fingerprint { return Fingerprint(hash >> 17) }
 
 // answerBudget returns how many bytes the budget leaves for an answer on a stream.
 func (n *Node) answerBudget(now time.Duration) int {
@@ -100,10 +100,10 @@
 
 // ExchangeRequested handles the digest with which another instance has started an exchange, and returns the answer: what the
 // other lacks, and what this instance wants. The digest came from the address observed.
-func (n *Node) Asked(now time.Duration, d *Digest, observed netip.Addr) *Items {
+func (n *Node) ExchangeRequested(now time.Duration, d *Digest, observed netip.Addr) *Items {
 	n.detectPause(now)
 	defer func() { n.scheduleWake(now) }()
-	items := &Items{SeenAt: observed}
+	items := &Items{ObservedAddr: observed}
 	if n.inactive && n.own.Kind == Left {
 		return items
 	}
@@ -129,7 +129,7 @@
 	if m := n.byName[own.Name]; m != nil && m.run != own.Run { // tells the other that its name is or was held by another run
 		add(m.claim)
 		if m.state == alive {
-			items.Alive = append(items.Alive, nameFingerprint(m.hash))
+			items.Reachable = append(items.Reachable, nameFingerprint(m.hash))
 		}
 	}
 	// Starts at a random member, so that an instance that lacks much gets another part from each instance that it asks.
@@ -140,7 +140,7 @@
 		switch {
 		case m.name == own.Name:
 		case m.state == alive && theirDead[nameFingerprint(m.hash)]:
-			items.Alive = append(items.Alive, nameFingerprint(m.hash))
+			items.Reachable = append(items.Reachable, nameFingerprint(m.hash))
 		case m.state == dead && !theirDead[nameFingerprint(m.hash)] && has:
 			n.queueCheck(m) // the other is in contact with the member, or hasn't detected its failure yet: probe it
 		}
@@ -150,7 +150,7 @@
 	}
 	for _, f := range d.Members {
 		if theirs[f] && f != n.ownFingerprint() {
-			items.Wants = append(items.Wants, f)
+			items.MissingClaims = append(items.MissingClaims, f)
 		}
 	}
 	n.compareRumours(now, d.Rumours, items, &room)
@@ -161,14 +161,14 @@
 }
 
 // ownFingerprint stands for this instance's claim about itself, as others hold it if they are up to date.
-func (n *Node) ownFingerprint() Mark {
+func (n *Node) ownFingerprint() Fingerprint {
 	m := member{hash: hash(n.config.Name), claim: n.own}
 	return m.fingerprint()
 }
 
 // fingerprintSet returns the fingerprints of a list as a set.
-func fingerprintSet(list []Mark) map[Mark]bool {
-	set := make(map[Mark]bool, len(list))
+func fingerprintSet(list []Fingerprint) map[Fingerprint]bool {
+	set := make(map[Fingerprint]bool, len(list))
 	for _, f := range list {
 		set[f] = true
 	}
@@ -177,7 +177,7 @@
 
 // compareRumours adds to items the rumours that the other lacks, the youngest first and as far as there is room, and the
 // fingerprints of those that are lacking here.
-func (n *Node) compareRumours(now time.Duration, theirs []Mark, items *Items, room *int) {
+func (n *Node) compareRumours(now time.Duration, theirs []Fingerprint, items *Items, room *int) {
 	has := fingerprintSet(theirs)
 	var missing []*entry
 	for _, name := range n.rumours.observers {
@@ -193,19 +193,19 @@
 	for _, e := range missing {
 		if size := e.maxBytes(); size <= *room && e.age(now) < n.config.RumourLife {
 			*room -= size
-			items.Rumours = append(items.Rumours, Told{e.Rumour, e.age(now)})
+			items.Rumours = append(items.Rumours, RelayedRumour{e.Rumour, e.age(now)})
 		}
 	}
 	for _, f := range theirs {
 		if has[f] {
-			items.Lacks = append(items.Lacks, f)
+			items.MissingRumours = append(items.MissingRumours, f)
 		}
 	}
 }
 
 // ExchangeAnswered handles the answer to an exchange that this instance started, and returns what the other wants in turn, or
 // nil if there is nothing to send.
-func (n *Node) Exchanged(now time.Duration, items *Items) *Items {
+func (n *Node) ExchangeAnswered(now time.Duration, items *Items) *Items {
 	n.detectPause(now)
 	defer func() { n.scheduleWake(now) }()
 	n.counts.Syncs++
@@ -216,9 +216,9 @@
 	if len(items.Claims) > 0 && items.Claims[0].Kind == Alive {
 		responder = items.Claims[0].Name // an answer begins with the sender's claim about itself
 	}
-	n.learnAddr(now, responder, items.SeenAt)
+	n.learnAddr(now, responder, items.ObservedAddr)
 	n.applyItems(now, items)
-	if slices.Contains(items.Alive, nameFingerprint(hash(n.config.Name))) {
+	if slices.Contains(items.Reachable, nameFingerprint(hash(n.config.Name))) {
 		return nil // another run holds this instance's name there, so no claim or rumour of this one would count
 	}
 	if !n.joined {
@@ -233,7 +233,7 @@
 	}
 	give := &Items{}
 	room := n.answerBudget(now)
-	missingClaims, missingRumours := fingerprintSet(items.Wants), fingerprintSet(items.Lacks)
+	missingClaims, missingRumours := fingerprintSet(items.MissingClaims), fingerprintSet(items.MissingRumours)
 	for _, m := range n.members {
 		if missingClaims[m.fingerprint()] && m.claim.maxBytes() <= room {
 			room -= m.claim.maxBytes()
@@ -244,7 +244,7 @@
 		for _, e := range n.rumours.byObserver[name] {
 			if size := e.maxBytes(); missingRumours[e.fingerprint()] && size <= room {
 				room -= size
-				give.Rumours = append(give.Rumours, Told{e.Rumour, e.age(now)})
+				give.Rumours = append(give.Rumours, RelayedRumour{e.Rumour, e.age(now)})
 			}
 		}
 	}
@@ -257,7 +257,7 @@
 }
 
 // ExchangeCompleted handles what the instance that started an exchange sends last.
-func (n *Node) Given(now time.Duration, items *Items) {
+func (n *Node) ExchangeCompleted(now time.Duration, items *Items) {
 	n.detectPause(now)
 	n.applyItems(now, items)
 	n.scheduleWake(now)
@@ -274,7 +274,7 @@
 	for i := range items.Rumours {
 		n.handleRumour(now, &items.Rumours[i])
 	}
-	reachable := fingerprintSet(items.Alive)
+	reachable := fingerprintSet(items.Reachable)
 	for _, m := range n.members {
 		if m.state == dead && reachable[nameFingerprint(m.hash)] {
 			n.queueCheck(m) // another instance is in contact with the member: probe it
@@ -285,7 +285,7 @@
 // learnAddr records the address at which another instance sees this one, if this one's address is to be learned. The address
 // reported by most instances is used, as single ones may lie.
 func (n *Node) learnAddr(now time.Duration, reporter string, addr netip.Addr) {
-	if !n.config.Learn || reporter == "" || !addr.IsValid() {
+	if !n.config.LearnAddr || reporter == "" || !addr.IsValid() {
 		return
 	}
 	addr = addr.Unmap()
--- a/internal/gossip/wire/wire.go
+++ b/internal/gossip/wire/wire.go
@@ -232,17 +232,17 @@
 	digestBody struct {
 		_       struct{} `cbor:",toarray"`
 		Own     []byte
-		Members []gossip.Mark
-		Dead    []gossip.Mark
-		Rumours []gossip.Mark
+		Members []gossip.Fingerprint
+		Dead    []gossip.Fingerprint
+		Rumours []gossip.Fingerprint
 	}
 	itemsBody struct {
 		_       struct{} `cbor:",toarray"`
 		Claims  [][]byte
 		Rumours []agedRumour
-		Wants   []gossip.Mark
-		Lacks   []gossip.Mark
-		Alive   []gossip.Mark
+		Wants   []gossip.Fingerprint
+		Lacks   []gossip.Fingerprint
+		Alive   []gossip.Fingerprint
 		SeenAt  []byte
 	}
 )
@@ -362,7 +362,7 @@
 const maxClockMicroseconds = 100 * 365 * 24 * 3600 * 1e6
 
 // verifyRumour decodes and verifies a rumour.
-func (cd *Book) verifyRumour(t *agedRumour) (told gossip.Told, err error) {
+func (cd *Book) verifyRumour(t *agedRumour) (told gossip.RelayedRumour, err error) {
 	var item rumourItem
 	var body rumourBody
 	if keys.Dec.Unmarshal(t.Raw, &item) != nil || keys.Dec.Unmarshal(item.Body, &body) != nil || len(body.Key) != len(gossip.KeyID{}) ||
@@ -377,7 +377,7 @@
 		return told, ErrSignature
 	}
 	age := time.Duration(min(max(0, t.Age), maxClockMicroseconds/1000)) * time.Millisecond
-	return gossip.Told{Age: age, Rumour: gossip.Rumour{Observer: p.Name, Key: p.Key, Run: body.Run, Server: body.Server, Symptom: body.Symptom,
+	return gossip.RelayedRumour{Age: age, Rumour: gossip.Rumour{Observer: p.Name, Key: p.Key, Run: body.Run, Server: body.Server, Symptom: body.Symptom,
 		Strength: body.Strength, Number: body.Number, Made: time.Duration(body.Made) * time.Microsecond, Raw: t.Raw}}, nil
 }
 
@@ -392,7 +392,7 @@
 	if err != nil {
 		return nil, err
 	}
-	body := messageBody{Kind: m.Kind, Number: m.Number, Prove: m.Prove, Target: m.Target, TargetAt: addrBytes(m.TargetAt), Clock: m.Clock.Microseconds()}
+	body := messageBody{Kind: m.Kind, Number: m.Number, Prove: m.WantClaim, Target: m.Target, TargetAt: addrBytes(m.TargetAddr), Clock: m.Clock.Microseconds()}
 	flags := byte(0)
 	for i := range m.Claims {
 		if m.Claims[i].Raw == nil && m.Claims[i].Kind != gossip.Accused && i == 0 {
@@ -501,14 +501,14 @@
 		body.Target != "" && !keys.ValidName(body.Target) || body.Clock < 0 || body.Clock > maxClockMicroseconds {
 		return nil, ErrForm
 	}
-	m := &gossip.Message{Kind: body.Kind, Number: body.Number, Prove: body.Prove, Target: body.Target, TargetAt: at,
+	m := &gossip.Message{Kind: body.Kind, Number: body.Number, WantClaim: body.Prove, Target: body.Target, TargetAddr: at,
 		Clock: time.Duration(body.Clock) * time.Microsecond}
 	m.Claims, m.Rumours = cd.verifyItems(body.Claims, body.Rumours, dropped)
 	return m, nil
 }
 
 // verifyItems verifies claims and rumours: claims first, as they carry the certificates of the rumours' observers.
-func (cd *Book) verifyItems(claims [][]byte, rumours []agedRumour, dropped func(error)) (cs []gossip.Claim, rs []gossip.Told) {
+func (cd *Book) verifyItems(claims [][]byte, rumours []agedRumour, dropped func(error)) (cs []gossip.Claim, rs []gossip.RelayedRumour) {
 	for _, raw := range claims {
 		if c, err := cd.verifyClaim(raw); err == nil {
 			cs = append(cs, c)
@@ -549,15 +549,15 @@
 
 // EncodeItems encodes items for a stream.
 func (cd *Book) EncodeItems(i *gossip.Items) []byte {
-	body := itemsBody{Wants: i.Wants, Lacks: i.Lacks, Alive: i.Alive}
+	body := itemsBody{Wants: i.MissingClaims, Lacks: i.MissingRumours, Alive: i.Reachable}
 	for j := range i.Claims {
 		body.Claims = append(body.Claims, cd.encodeClaim(&i.Claims[j]))
 	}
 	for j := range i.Rumours {
 		body.Rumours = append(body.Rumours, agedRumour{Raw: cd.encodeRumour(&i.Rumours[j].Rumour), Age: i.Rumours[j].Age.Milliseconds()})
 	}
-	if i.SeenAt.IsValid() {
-		body.SeenAt, _ = i.SeenAt.MarshalBinary()
+	if i.ObservedAddr.IsValid() {
+		body.SeenAt, _ = i.ObservedAddr.MarshalBinary()
 	}
 	return marshal(&body)
 }
@@ -569,8 +569,8 @@
 		len(body.Claims)+len(body.Rumours) > 8*maxItems {
 		return nil, ErrForm
 	}
-	i := &gossip.Items{Wants: body.Wants, Lacks: body.Lacks, Alive: body.Alive}
-	if len(body.SeenAt) > 0 && i.SeenAt.UnmarshalBinary(body.SeenAt) != nil {
+	i := &gossip.Items{MissingClaims: body.Wants, MissingRumours: body.Lacks, Reachable: body.Alive}
+	if len(body.SeenAt) > 0 && i.ObservedAddr.UnmarshalBinary(body.SeenAt) != nil {
 		return nil, ErrForm
 	}
 	i.Claims, i.Rumours = cd.verifyItems(body.Claims, body.Rumours, dropped)
--- a/internal/gossip/wire/wire_test.go
+++ b/internal/gossip/wire/wire_test.go
@@ -92,8 +92,8 @@
 	f.introduce(a, b)
 	f.introduce(b, c)
 	accused := gossip.Claim{Kind: gossip.Accused, Name: "delta", By: "alpha", Key: a.ownKey, Run: a.runID, Incarnation: 3, Clock: time.Second}
-	m := &gossip.Message{Kind: gossip.PingFor, Number: 9, Prove: true, Target: "gamma", TargetAt: testAddr, Clock: time.Minute,
-		Claims: []gossip.Claim{aliveClaim(a), accused}, Rumours: []gossip.Told{{Rumour: silentRumour(a, 1), Age: 1500 * time.Millisecond}}}
+	m := &gossip.Message{Kind: gossip.PingReq, Number: 9, WantClaim: true, Target: "gamma", TargetAddr: testAddr, Clock: time.Minute,
+		Claims: []gossip.Claim{aliveClaim(a), accused}, Rumours: []gossip.RelayedRumour{{Rumour: silentRumour(a, 1), Age: 1500 * time.Millisecond}}}
 	d, err := a.Datagram(b.ownKey, m)
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 	// beta forwards the items, which alpha has signed, together with alpha's certificate.
 	fromA := got.Message.Claims[0]
 	fromA.Raw = a.encodeClaim(&gossip.Claim{Kind: gossip.Alive, Name: "alpha", Run: a.runID, Incarnation: 7, Addr: testAddr, Clock: 5 * time.Second})
-	d, err = b.Datagram(c.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{fromA}, Rumours: []gossip.Told{forwarded}})
+	d, err = b.Datagram(c.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{fromA}, Rumours: []gossip.RelayedRumour{forwarded}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	f := newFixture(t)
 	a, b := f.newCodec("alpha", "x"), f.newCodec("beta", "x")
 	f.introduce(a, b)
-	d, err := a.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Ping, Number: 1, Rumours: []gossip.Told{{Rumour: silentRumour(a, 1)}}})
+	d, err := a.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Ping, Number: 1, Rumours: []gossip.RelayedRumour{{Rumour: silentRumour(a, 1)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 	body := marshal(&claimBody{Kind: gossip.Alive, Name: "alpha", Incarnation: 99, Addr: addrBytes(testAddr)})
 	resigned.Raw = marshal(&claimItem{Body: body, Signer: a.certificate, Signature: ed25519.Sign(liar.keyring.Private, append([]byte(claimDomain+"x\x00"), body...))})
 	var drops []error
-	d, err := liar.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{claim, resigned}, Rumours: []gossip.Told{{Rumour: forged}}})
+	d, err := liar.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{claim, resigned}, Rumours: []gossip.RelayedRumour{{Rumour: forged}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -277,11 +277,11 @@
 	claim.Incarnation, claim.Clock, claim.Addr = 1<<31, maxClockMicroseconds*time.Microsecond/2, netip.MustParseAddrPort("[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535")
 	claim.Raw = a.encodeClaim(&claim)
 	accused := gossip.Claim{Kind: gossip.Accused, Name: name[1:] + "x", By: name, Key: a.ownKey, Run: a.runID, Incarnation: 1 << 31, Clock: claim.Clock}
-	m := &gossip.Message{Kind: gossip.PingFor, Number: 1 << 31, Target: name, TargetAt: claim.Addr, Clock: claim.Clock, Claims: []gossip.Claim{claim, accused}}
+	m := &gossip.Message{Kind: gossip.PingReq, Number: 1 << 31, Target: name, TargetAddr: claim.Addr, Clock: claim.Clock, Claims: []gossip.Claim{claim, accused}}
 	for i := range 3 {
 		r := silentRumour(a, 1<<31+uint32(i))
 		r.Run = 1 << 63
-		m.Rumours = append(m.Rumours, gossip.Told{Rumour: r, Age: time.Hour})
+		m.Rumours = append(m.Rumours, gossip.RelayedRumour{Rumour: r, Age: time.Hour})
 	}
 	d, err := a.Datagram(b.ownKey, m)
 	if err != nil {
@@ -290,14 +290,14 @@
 	if got := len(d) + 28; got > m.Bytes() {
 		t.Errorf("size of the datagram with its IP and UDP headers: got %d bytes, want at most %d", got, m.Bytes())
 	}
-	items := &gossip.Items{Claims: m.Claims, Rumours: m.Rumours, Wants: make([]gossip.Mark, 50), SeenAt: claim.Addr.Addr()}
-	for i := range items.Wants {
-		items.Wants[i] = 1 << 31
+	items := &gossip.Items{Claims: m.Claims, Rumours: m.Rumours, MissingClaims: make([]gossip.Fingerprint, 50), ObservedAddr: claim.Addr.Addr()}
+	for i := range items.MissingClaims {
+		items.MissingClaims[i] = 1 << 31
 	}
 	if got := len(a.EncodeItems(items)); got > items.Bytes() {
 		t.Errorf("size of the items: got %d bytes, want at most %d", got, items.Bytes())
 	}
-	digest := &gossip.Digest{Own: aliveClaim(a), Members: items.Wants, Dead: items.Wants, Rumours: items.Wants}
+	digest := &gossip.Digest{Own: aliveClaim(a), Members: items.MissingClaims, Dead: items.MissingClaims, Rumours: items.MissingClaims}
 	raw := a.EncodeDigest(digest)
 	if len(raw) > digest.Bytes() {
 		t.Errorf("size of the digest: got %d bytes, want at most %d", len(raw), digest.Bytes())
@@ -342,7 +342,7 @@
 	fix := newFixture(f)
 	a, b := fix.newCodec("alpha", "x"), fix.newCodec("beta", "x")
 	fix.introduce(a, b)
-	for _, m := range []*gossip.Message{{Kind: gossip.Ping}, {Kind: gossip.Tell, Claims: []gossip.Claim{aliveClaim(a)}, Rumours: []gossip.Told{{Rumour: silentRumour(a, 1)}}}} {
+	for _, m := range []*gossip.Message{{Kind: gossip.Ping}, {Kind: gossip.Tell, Claims: []gossip.Claim{aliveClaim(a)}, Rumours: []gossip.RelayedRumour{{Rumour: silentRumour(a, 1)}}}} {
 		d, err := a.Datagram(b.ownKey, m)
 		if err != nil {
 			f.Fatal(err)
@@ -350,8 +350,8 @@
 		f.Add(d)
 		f.Add(d[headerSize:])
 	}
-	f.Add(a.EncodeItems(&gossip.Items{Claims: []gossip.Claim{aliveClaim(a)}, Wants: []gossip.Mark{1}}))
-	f.Add(a.EncodeDigest(&gossip.Digest{Own: aliveClaim(a), Members: []gossip.Mark{1}}))
+	f.Add(a.EncodeItems(&gossip.Items{Claims: []gossip.Claim{aliveClaim(a)}, MissingClaims: []gossip.Fingerprint{1}}))
+	f.Add(a.EncodeDigest(&gossip.Digest{Own: aliveClaim(a), Members: []gossip.Fingerprint{1}}))
 	f.Fuzz(func(t *testing.T, d []byte) {
 		b.Open(d, func(error) {})
 		// The bodies that an attacker with a valid key can send.
@@ -368,7 +368,7 @@
 	f.introduce(x, y)
 	m := &gossip.Message{Kind: gossip.Tell}
 	for i := range uint32(7) {
-		m.Rumours = append(m.Rumours, gossip.Told{Rumour: silentRumour(x, i)})
+		m.Rumours = append(m.Rumours, gossip.RelayedRumour{Rumour: silentRumour(x, i)})
 	}
 	valid, err := x.Datagram(y.ownKey, m)
 	if err != nil {
--- a/internal/loopback/liar.go
+++ b/internal/loopback/liar.go
@@ -89,9 +89,9 @@
 	}
 }
 
-func (l *liar) rumour(num int, what gossip.Symptom, ahead time.Duration) gossip.Told {
+func (l *liar) rumour(num int, what gossip.Symptom, ahead time.Duration) gossip.RelayedRumour {
 	l.number++
-	return gossip.Told{Rumour: gossip.Rumour{Observer: l.name, Key: l.key, Run: l.c.RunNumber(), Server: xxhash.Sum64String(fmt.Sprintf("s-%08x", num)),
+	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.name, Key: l.key, Run: l.c.RunNumber(), Server: xxhash.Sum64String(fmt.Sprintf("s-%08x", num)),
 		Symptom: what, Strength: 255, Number: l.number, Made: l.clock.Now() + ahead}}
 }
 
