--- a/cmd/gorsewell/keys.go
+++ b/cmd/gorsewell/keys.go
@@ -38,7 +38,7 @@
 		Args:    usage(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			a, err := keys.NewAuthority(name)
-			if errors.Is(err, keys.ErrName) {
+			if errors.Is(err, keys.ErrInvalidName) {
 				return badUsage{fmt.Errorf("--name %q: %w", name, err)}
 			} else if err != nil {
 				return err
@@ -67,7 +67,7 @@
 		Args:    usage(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !keys.ValidName(name) {
-				return badUsage{fmt.Errorf("--name %q: %w", name, keys.ErrName)}
+				return badUsage{fmt.Errorf("--name %q: %w", name, keys.ErrInvalidName)}
 			}
 			if lasts <= 0 {
 				return badUsage{fmt.Errorf("--for %v: must be more than 0", lasts)}
@@ -78,7 +78,7 @@
 			}
 			keyPath, certPath := filepath.Join(out, name+".key"), filepath.Join(out, name+".crt")
 			var private ed25519.PrivateKey
-			if old, err := keys.Read(keyPath); err == nil && old.Private != nil {
+			if old, err := keys.ReadFile(keyPath); err == nil && old.Private != nil {
 				private = old.Private
 			} else {
 				if _, private, err = ed25519.GenerateKey(rand.Reader); err != nil {
@@ -110,7 +110,7 @@
 	if path == "" {
 		return nil, badUsage{errors.New("--authority is needed")}
 	}
-	f, err := keys.Read(path)
+	f, err := keys.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 			var files []*keys.File
 			ring := &keys.Keyring{}
 			for _, path := range args {
-				f, err := keys.Read(path)
+				f, err := keys.ReadFile(path)
 				if err != nil {
 					return err
 				}
@@ -149,7 +149,7 @@
 				case f.Private != nil:
 					fmt.Fprintf(out, "%s: private key, id %s\n", args[i], keys.IDText(keys.ID(f.Private.Public().(ed25519.PublicKey))))
 				default:
-					fmt.Fprintf(out, "%s: certificate of %s, id %s, until %s, by %x%s\n", args[i], f.Certificate.Name, keys.IDText(f.Certificate.Key()),
+					fmt.Fprintf(out, "%s: certificate of %s, id %s, until %s, by %x%s\n", args[i], f.Certificate.Name, keys.IDText(f.Certificate.KeyID()),
 						time.Unix(f.Certificate.NotAfter, 0).UTC().Format(time.RFC3339), f.Certificate.Authority, counts(ring, f.Certificate))
 				}
 			}
@@ -190,7 +190,7 @@
 				return badUsage{fmt.Errorf("--for %v: must be more than 0", lasts)}
 			}
 			for _, path := range args {
-				f, err := keys.Read(path)
+				f, err := keys.ReadFile(path)
 				if err != nil {
 					return err
 				}
--- a/cmd/gorsewell/run.go
+++ b/cmd/gorsewell/run.go
@@ -126,7 +126,7 @@
 		return err
 	}
 	s := &settings.Gossip
-	ring, err := keys.Load(s.Certificate, s.Key, s.Authorities, time.Now())
+	ring, err := keys.LoadKeyring(s.Certificate, s.Key, s.Authorities, time.Now())
 	if err != nil {
 		return err
 	}
@@ -139,7 +139,7 @@
 	if !s.Enabled {
 		return nil, nil
 	}
-	ring, err := keys.Load(s.Certificate, s.Key, s.Authorities, time.Now())
+	ring, err := keys.LoadKeyring(s.Certificate, s.Key, s.Authorities, time.Now())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/gossip/carrier/carrier.go
+++ b/internal/gossip/carrier/carrier.go
@@ -28,7 +28,7 @@
 )
 
 // RumourReceiver is the gateway's side: it receives the rumours about servers of its list.
-type Desk interface {
+type RumourReceiver interface {
 	// Rumour reports the weighted number of observers that currently see the server in trouble; 0 when none does any
 	// more.
 	Rumour(server uint32, weight float64)
@@ -40,7 +40,7 @@
 	settings config.Gossip
 	name     string
 	clock    exchange.Clock
-	gateway  Desk
+	gateway  RumourReceiver
 	serverID func(server uint32) string // ID, in the list, of a server that the list names
 
 	udp           *net.UDPConn
@@ -56,7 +56,7 @@
 	tasks         *errgroup.Group // receiving, accepting and the open streams
 
 	codecMu sync.Mutex // guards codec
-	codec   *wire.Book
+	codec   *wire.Codec
 
 	mu            sync.Mutex                // guards the five fields below and those of the log limit
 	hashByServer  map[uint32]uint64         // servers of the list, with the hashes by which gossip names them
@@ -104,7 +104,7 @@
 
 // New returns a carrier with open sockets. Run does the work and closes them. The keyring's certificate must be for
 // the given name. The function serverID returns the ID, in the list, of a server that the list names.
-func New(settings config.Gossip, name string, keyring *keys.Keyring, clock exchange.Clock, gateway Desk,
+func New(settings config.Gossip, name string, keyring *keys.Keyring, clock exchange.Clock, gateway RumourReceiver,
 	serverID func(uint32) string) (*Carrier, error) {
 	if keyring.Certificate.Name != name {
 		return nil, fmt.Errorf("certificate is for instance %q, expected %q", keyring.Certificate.Name, name)
@@ -132,10 +132,10 @@
 	c.rumouredServers.Store(&map[uint32]struct{}{})
 	runID := rand.Uint64()
 	c.runID = runID
-	c.codec = wire.NewBook(keyring, settings.Cluster, runID, settings.Limits.Members, time.Now)
+	c.codec = wire.NewCodec(keyring, settings.Cluster, runID, settings.Limits.Members, time.Now)
 	c.certNotAfter = time.Unix(keyring.Certificate.NotAfter, 0)
 	limits := &settings.Limits
-	c.node = gossip.New(c, gossip.Config{Name: name, Key: keyring.Certificate.Key(), Run: runID, Seed: rand.Uint64(), Addr: ownAddr,
+	c.node = gossip.New(c, gossip.Config{Name: name, Key: keyring.Certificate.KeyID(), Run: runID, Seed: rand.Uint64(), Addr: ownAddr,
 		LearnAddr: ownAddr.Addr().IsUnspecified(), ProbeEvery: settings.ProbeEvery, ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor,
 		TellEvery: settings.TellEvery, SyncEvery: settings.SyncEvery, RumourLife: settings.RumourLife, Members: limits.Members, Rumours: limits.Rumours,
 		RumoursPerObserver: limits.RumoursPerObserver, ObserversPerServer: limits.ObserversPerServer, Datagram: int(limits.Datagram),
@@ -275,7 +275,7 @@
 // within a day.
 func (c *Carrier) checkExpiry() {
 	c.codecMu.Lock()
-	expired := c.codec.Expired()
+	expired := c.codec.RemoveExpired()
 	c.codecMu.Unlock()
 	for _, id := range expired {
 		c.node.Expelled(c.clock.Now(), id)
@@ -300,7 +300,7 @@
 		c.codecMu.Unlock()
 		c.certNotAfter = time.Unix(keyring.Certificate.NotAfter, 0)
 		now := c.clock.Now()
-		c.node.Rekey(now, keyring.Certificate.Key())
+		c.node.Rekey(now, keyring.Certificate.KeyID())
 		for _, id := range rejected {
 			c.node.Expelled(now, id)
 		}
@@ -317,7 +317,7 @@
 // Datagram signs a message and sends it. It implements gossip.Host, as do Exchange, Wake, Rumoured and Log.
 func (c *Carrier) Datagram(to netip.AddrPort, key gossip.KeyID, m *gossip.Message) {
 	c.codecMu.Lock()
-	d, err := c.codec.Datagram(key, m)
+	d, err := c.codec.EncodeDatagram(key, m)
 	c.codecMu.Unlock()
 	if err == nil {
 		_, err = c.udp.WriteToUDPAddrPort(d, to)
@@ -510,7 +510,7 @@
 }
 
 // RunID returns the random ID of this run of the instance. It is part of each datagram, claim and rumour of the run.
-func (c *Carrier) RunNumber() uint64 { return c.runID }
+func (c *Carrier) RunID() uint64 { return c.runID }
 
 // Attrs returns the counters for a log line: the number of members by state, the node's counters, and the carrier's
 // own. It returns nil if the event queue is full or the carrier stops before answering.
--- a/internal/gossip/carrier/carrier_test.go
+++ b/internal/gossip/carrier/carrier_test.go
@@ -256,7 +256,7 @@
 		for _, i := range all[:3] {
 			i.codecMu.Lock()
 			for _, o := range all[:3] {
-				if peer, err := i.codec.Meet(keyrings[o.name].Certificate.Encode()); err == nil && peer.Name == o.name {
+				if peer, err := i.codec.VerifyPeer(keyrings[o.name].Certificate.Encode()); err == nil && peer.Name == o.name {
 					verified++
 				}
 			}
@@ -290,7 +290,7 @@
 	}
 	defer c.Close()
 	b.codecMu.Lock()
-	valid, err := b.codec.Datagram(ownKey(a), &gossip.Message{Kind: gossip.Ping, Number: 1})
+	valid, err := b.codec.EncodeDatagram(ownKey(a), &gossip.Message{Kind: gossip.Ping, Number: 1})
 	b.codecMu.Unlock()
 	if err != nil {
 		t.Fatal(err)
@@ -320,7 +320,7 @@
 func ownKey(i *instance) gossip.KeyID {
 	i.codecMu.Lock()
 	defer i.codecMu.Unlock()
-	return i.codec.Own()
+	return i.codec.OwnKey()
 }
 
 // Beyond the receive budget, datagrams of a flood stay in the socket's buffer, where the kernel drops them.
--- a/internal/gossip/carrier/datagram.go
+++ b/internal/gossip/carrier/datagram.go
@@ -110,7 +110,7 @@
 // budget.
 func (c *Carrier) openDatagram(d []byte, remaining float64) (cost float64) {
 	c.codecMu.Lock()
-	newPeer := c.codec.Meets(d)
+	newPeer := c.codec.HasUnknownCertificate(d)
 	if newPeer && remaining < c.newPeerReserve() {
 		c.codecMu.Unlock()
 		c.counts.Budget.Add(1)
@@ -151,7 +151,7 @@
 		n.Version.Add(1)
 	case errors.Is(err, wire.ErrCluster):
 		n.Cluster.Add(1)
-	case errors.Is(err, wire.ErrStranger):
+	case errors.Is(err, wire.ErrUnknownKey):
 		n.Stranger.Add(1)
 	case errors.Is(err, wire.ErrTag):
 		n.Tag.Add(1)
@@ -159,7 +159,7 @@
 		n.Signature.Add(1)
 	case errors.Is(err, wire.ErrExpired):
 		n.Expired.Add(1)
-	case errors.Is(err, wire.ErrAuthority):
+	case errors.Is(err, wire.ErrUnknownAuthority):
 		n.Authority.Add(1)
 	default:
 		n.Form.Add(1)
--- a/internal/gossip/carrier/stream.go
+++ b/internal/gossip/carrier/stream.go
@@ -33,7 +33,7 @@
 type stream struct {
 	net.Conn
 	reader *bufio.Reader
-	mac    *wire.Session
+	mac    *wire.StreamMAC
 	peer   *wire.Peer
 }
 
@@ -53,7 +53,7 @@
 		return nil, nil, nil, err
 	}
 	if string(hello[:4]) != helloPrefix {
-		return nil, nil, nil, wire.ErrForm
+		return nil, nil, nil, wire.ErrMalformed
 	}
 	if binary.BigEndian.Uint32(hello[4:]) != cluster {
 		return nil, nil, nil, wire.ErrCluster
@@ -72,7 +72,7 @@
 	rand.Read(nonce)
 	reader := bufio.NewReaderSize(conn, 4<<10)
 	c.codecMu.Lock()
-	cluster, cert := c.codec.Cluster(), c.codec.Certificate()
+	cluster, cert := c.codec.ClusterHash(), c.codec.Certificate()
 	c.codecMu.Unlock()
 	ownHello := encodeHello(cluster, nonce, cert)
 	if opener {
@@ -85,12 +85,12 @@
 		return nil, err
 	}
 	c.codecMu.Lock()
-	peer, err := c.codec.Meet(peerCert)
-	var mac *wire.Session
+	peer, err := c.codec.VerifyPeer(peerCert)
+	var mac *wire.StreamMAC
 	if err == nil && opener {
-		mac = c.codec.Session(peer, nonce, peerNonce, true)
+		mac = c.codec.NewStreamMAC(peer, nonce, peerNonce, true)
 	} else if err == nil {
-		mac = c.codec.Session(peer, peerNonce, nonce, false)
+		mac = c.codec.NewStreamMAC(peer, peerNonce, nonce, false)
 	}
 	c.codecMu.Unlock()
 	if err != nil {
@@ -116,7 +116,7 @@
 func (s *stream) writeFrame(b []byte) error {
 	frame := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(b)+wire.TagSize), uint32(len(b)))
 	frame = append(frame, b...)
-	frame = append(frame, s.mac.Seal(b)...)
+	frame = append(frame, s.mac.Tag(b)...)
 	_, err := s.Write(frame)
 	return err
 }
@@ -135,7 +135,7 @@
 	if _, err := io.ReadFull(s.reader, b); err != nil {
 		return nil, err
 	}
-	if !s.mac.Fits(b[:n], b[n:]) {
+	if !s.mac.Verify(b[:n], b[n:]) {
 		return nil, wire.ErrTag
 	}
 	return b[:n], nil
@@ -181,7 +181,7 @@
 		return
 	}
 	c.counts.StreamsFailed.Add(1)
-	for _, cause := range []error{wire.ErrForm, wire.ErrCluster, wire.ErrStranger, wire.ErrTag, wire.ErrSignature, wire.ErrExpired, wire.ErrAuthority} {
+	for _, cause := range []error{wire.ErrMalformed, wire.ErrCluster, wire.ErrUnknownKey, wire.ErrTag, wire.ErrSignature, wire.ErrExpired, wire.ErrUnknownAuthority} {
 		if errors.Is(err, cause) {
 			c.countDropped(err)
 		}
@@ -199,7 +199,7 @@
 		return err
 	}
 	c.codecMu.Lock()
-	d, err := c.codec.Digest(raw, s.peer)
+	d, err := c.codec.DecodeDigest(raw, s.peer)
 	c.codecMu.Unlock()
 	if err != nil {
 		return err
@@ -258,7 +258,7 @@
 func (c *Carrier) decodeItems(raw []byte) (*gossip.Items, error) {
 	c.codecMu.Lock()
 	defer c.codecMu.Unlock()
-	return c.codec.Items(raw, c.countDropped)
+	return c.codec.DecodeItems(raw, c.countDropped)
 }
 
 // Exchange opens a stream to an instance and synchronises with it. It reports failure at once if too many streams are
--- a/internal/gossip/keys/keys.go
+++ b/internal/gossip/keys/keys.go
@@ -37,26 +37,26 @@
 
 // Errors returned for invalid names, keys, certificates and files.
 var (
-	ErrForm      = errors.New("invalid key or certificate")
-	ErrSignature = errors.New("the signature does not fit")
-	ErrExpired   = errors.New("the certificate has expired")
-	ErrUnknown   = errors.New("the certificate is of an authority that does not count here")
-	ErrName      = errors.New("invalid name: must be 1 to 32 letters, digits, dots, dashes and underscores")
+	ErrInvalid          = errors.New("invalid key or certificate")
+	ErrSignature        = errors.New("the signature does not fit")
+	ErrExpired          = errors.New("the certificate has expired")
+	ErrUnknownAuthority = errors.New("the certificate is of an authority that does not count here")
+	ErrInvalidName      = errors.New("invalid name: must be 1 to 32 letters, digits, dots, dashes and underscores")
 )
 
 // EncMode and DecMode are the CBOR modes of all signed data. Encoding is deterministic and decoding is strict, so
 // that signed data has exactly one encoding.
 var (
-	Enc cbor.EncMode
-	Dec cbor.DecMode
+	EncMode cbor.EncMode
+	DecMode cbor.DecMode
 )
 
 func init() {
 	var err error
-	if Enc, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
+	if EncMode, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
 		panic(err)
 	}
-	Dec, err = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
+	DecMode, err = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxNestedLevels: 8, MaxArrayElements: 4096, MaxMapPairs: 16}.DecMode()
 	if err != nil {
 		panic(err)
@@ -84,13 +84,13 @@
 }
 
 // KeyID returns the ID of the certificate's key.
-func (c *Certificate) Key() gossip.KeyID { return ID(c.Public) }
+func (c *Certificate) KeyID() gossip.KeyID { return ID(c.Public) }
 
 // signedBytes returns the bytes that the authority signs: the domain and the certificate without its signature.
 func (c *Certificate) signedBytes() []byte {
 	bare := *c
 	bare.Signature = nil
-	b, err := Enc.Marshal(&bare)
+	b, err := EncMode.Marshal(&bare)
 	if err != nil {
 		panic(err) // a certificate has no field whose encoding can fail
 	}
@@ -99,7 +99,7 @@
 
 // Encode returns the encoded certificate.
 func (c *Certificate) Encode() []byte {
-	b, err := Enc.Marshal(c)
+	b, err := EncMode.Marshal(c)
 	if err != nil {
 		panic(err)
 	}
@@ -111,16 +111,16 @@
 func ParseCertificate(b []byte) (*Certificate, error) {
 	c := &Certificate{}
 	if len(b) > MaxCertificate {
-		return nil, ErrForm
+		return nil, ErrInvalid
 	}
-	if err := Dec.Unmarshal(b, c); err != nil {
-		return nil, ErrForm
+	if err := DecMode.Unmarshal(b, c); err != nil {
+		return nil, ErrInvalid
 	}
 	if len(c.Public) != ed25519.PublicKeySize || len(c.Signature) != ed25519.SignatureSize || len(c.Authority) != len(gossip.KeyID{}) {
-		return nil, ErrForm
+		return nil, ErrInvalid
 	}
 	if !ValidName(c.Name) {
-		return nil, ErrName
+		return nil, ErrInvalidName
 	}
 	return c, nil
 }
@@ -147,7 +147,7 @@
 // NewAuthority generates an authority with a new key pair.
 func NewAuthority(name string) (*Authority, error) {
 	if !ValidName(name) {
-		return nil, ErrName
+		return nil, ErrInvalidName
 	}
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	return &Authority{name, public, private}, err
@@ -157,7 +157,7 @@
 // private key.
 func (a *Authority) Issue(name string, public ed25519.PublicKey, notAfter time.Time) (*Certificate, error) {
 	if !ValidName(name) {
-		return nil, ErrName
+		return nil, ErrInvalidName
 	}
 	if a.Private == nil {
 		return nil, errors.New("issuing a certificate needs the authority's private key; only its public key is known")
@@ -206,14 +206,14 @@
 			return nil
 		}
 	}
-	return ErrUnknown
+	return ErrUnknownAuthority
 }
 
 // SharedSecret returns the secret that this instance shares with the holder of a certificate within a cluster.
-func (k *Keyring) Shared(c *Certificate, cluster string) ([]byte, error) {
+func (k *Keyring) SharedSecret(c *Certificate, cluster string) ([]byte, error) {
 	point, err := new(edwards25519.Point).SetBytes(c.Public)
 	if err != nil {
-		return nil, ErrForm
+		return nil, ErrInvalid
 	}
 	peerKey, err := ecdh.X25519().NewPublicKey(point.BytesMontgomery())
 	if err != nil {
@@ -291,7 +291,7 @@
 	}
 	block, rest := pem.Decode(text)
 	if block == nil || len(bytes.TrimSpace(rest)) > 0 {
-		return nil, fmt.Errorf("%s: %w", path, ErrForm)
+		return nil, fmt.Errorf("%s: %w", path, ErrInvalid)
 	}
 	return block, nil
 }
@@ -304,7 +304,7 @@
 }
 
 // ReadFile reads an authority, private key or certificate, depending on the file's PEM type.
-func Read(path string) (*File, error) {
+func ReadFile(path string) (*File, error) {
 	block, err := readPEM(path)
 	if err != nil {
 		return nil, err
@@ -323,33 +323,33 @@
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	default:
-		return nil, fmt.Errorf("%s: %w", path, ErrForm)
+		return nil, fmt.Errorf("%s: %w", path, ErrInvalid)
 	}
 	return f, nil
 }
 
 // LoadKeyring reads an instance's keyring from the files of its certificate, its private key and the accepted
 // authorities.
-func Load(certificate, key string, authorities []string, now time.Time) (*Keyring, error) {
-	certFile, err := Read(certificate)
+func LoadKeyring(certificate, key string, authorities []string, now time.Time) (*Keyring, error) {
+	certFile, err := ReadFile(certificate)
 	if err == nil && certFile.Certificate == nil {
-		err = fmt.Errorf("%s: %w: expected a certificate", certificate, ErrForm)
+		err = fmt.Errorf("%s: %w: expected a certificate", certificate, ErrInvalid)
 	}
 	if err != nil {
 		return nil, err
 	}
-	keyFile, err := Read(key)
+	keyFile, err := ReadFile(key)
 	if err == nil && keyFile.Private == nil {
-		err = fmt.Errorf("%s: %w: expected an instance's private key", key, ErrForm)
+		err = fmt.Errorf("%s: %w: expected an instance's private key", key, ErrInvalid)
 	}
 	if err != nil {
 		return nil, err
 	}
 	var accepted []*Authority
 	for _, path := range authorities {
-		file, err := Read(path)
+		file, err := ReadFile(path)
 		if err == nil && file.Authority == nil {
-			err = fmt.Errorf("%s: %w: expected an authority", path, ErrForm)
+			err = fmt.Errorf("%s: %w: expected an authority", path, ErrInvalid)
 		}
 		if err != nil {
 			return nil, err
--- a/internal/gossip/wire/wire.go
+++ b/internal/gossip/wire/wire.go
@@ -47,32 +47,32 @@
 
 // Reasons for dropping a message or one of its items. Each is counted separately.
 var (
-	ErrForm      = errors.New("malformed message")
-	ErrVersion   = errors.New("unsupported protocol version")
-	ErrCluster   = errors.New("message of another cluster")
-	ErrStranger  = errors.New("unknown sender key")
-	ErrTag       = errors.New("tag does not match: message altered or for another receiver")
-	ErrSignature = errors.New("invalid signature")
-	ErrExpired   = keys.ErrExpired
-	ErrAuthority = keys.ErrUnknown
+	ErrMalformed        = errors.New("malformed message")
+	ErrVersion          = errors.New("unsupported protocol version")
+	ErrCluster          = errors.New("message of another cluster")
+	ErrUnknownKey       = errors.New("unknown sender key")
+	ErrTag              = errors.New("tag does not match: message altered or for another receiver")
+	ErrSignature        = errors.New("invalid signature")
+	ErrExpired          = keys.ErrExpired
+	ErrUnknownAuthority = keys.ErrUnknownAuthority
 )
 
 var byteOrder = binary.BigEndian
 
 // Peer is an instance whose certificate has been verified.
 type Peer struct {
-	Name    string
-	Key     gossip.KeyID
-	Public  ed25519.PublicKey
-	Cert    []byte // the encoded certificate
-	Until   int64  // end of the certificate's validity, in Unix seconds
-	Shared  []byte // secret shared with this instance
-	lastUse uint64 // value of the codec's useCount at the last use
+	Name         string
+	Key          gossip.KeyID
+	Public       ed25519.PublicKey
+	Cert         []byte // the encoded certificate
+	NotAfter     int64  // end of the certificate's validity, in Unix seconds
+	SharedSecret []byte // secret shared with this instance
+	lastUse      uint64 // value of the codec's useCount at the last use
 }
 
 // Codec signs and encodes outgoing messages, and verifies and decodes incoming ones. It caches verified certificates
 // and signatures. It is not safe for concurrent use.
-type Book struct {
+type Codec struct {
 	keyring     *keys.Keyring
 	cluster     string
 	clusterHash uint32           // identifies the cluster in headers
@@ -99,8 +99,8 @@
 
 // NewCodec returns a codec for a cluster of up to the given number of peers. It keeps the certificates of twice as
 // many.
-func NewBook(keyring *keys.Keyring, cluster string, runID uint64, peers int, clock func() time.Time) *Book {
-	cd := &Book{cluster: cluster, runID: runID, clock: clock, maxPeers: 2 * peers, verified: map[[16]byte]struct{}{}}
+func NewCodec(keyring *keys.Keyring, cluster string, runID uint64, peers int, clock func() time.Time) *Codec {
+	cd := &Codec{cluster: cluster, runID: runID, clock: clock, maxPeers: 2 * peers, verified: map[[16]byte]struct{}{}}
 	cd.clusterHash = uint32(xxhash.Sum64String("gorsewell cluster\x00" + cluster))
 	cd.Rekey(keyring)
 	return cd
@@ -108,9 +108,9 @@
 
 // Rekey replaces the keyring. Signatures verified with the previous one are verified again on their next receipt. It
 // returns the keys of peers whose certificates the new keyring rejects.
-func (cd *Book) Rekey(keyring *keys.Keyring) (rejected []gossip.KeyID) {
+func (cd *Codec) Rekey(keyring *keys.Keyring) (rejected []gossip.KeyID) {
 	old := cd.peers
-	cd.keyring, cd.ownKey, cd.certificate = keyring, keyring.Certificate.Key(), keyring.Certificate.Encode()
+	cd.keyring, cd.ownKey, cd.certificate = keyring, keyring.Certificate.KeyID(), keyring.Certificate.Encode()
 	cd.peers, cd.verified, cd.verifiedOrder = map[gossip.KeyID]*Peer{}, map[[16]byte]struct{}{}, nil
 	cd.signedRumours, cd.signedOrder = map[uint32][]byte{}, nil
 	for id, p := range old {
@@ -122,13 +122,13 @@
 }
 
 // OwnKey returns the ID of the instance's own key.
-func (cd *Book) Own() gossip.KeyID { return cd.ownKey }
+func (cd *Codec) OwnKey() gossip.KeyID { return cd.ownKey }
 
 // RemoveExpired removes the peers whose certificates have expired and returns their keys.
-func (cd *Book) Expired() (expired []gossip.KeyID) {
+func (cd *Codec) RemoveExpired() (expired []gossip.KeyID) {
 	now := cd.clock().Unix()
 	for id, p := range cd.peers {
-		if now > p.Until {
+		if now > p.NotAfter {
 			expired = append(expired, id)
 			delete(cd.peers, id)
 		}
@@ -137,21 +137,21 @@
 }
 
 // verifyPeer verifies a certificate and caches the peer.
-func (cd *Book) verifyPeer(cert []byte) (*Peer, error) {
+func (cd *Codec) verifyPeer(cert []byte) (*Peer, error) {
 	c, err := keys.ParseCertificate(cert)
 	if err != nil {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
-	id := c.Key()
+	id := c.KeyID()
 	if p := cd.peers[id]; p != nil && string(p.Cert) == string(cert) {
 		return p, nil
 	}
 	if err := cd.keyring.Verify(c, cd.clock()); err != nil {
 		return nil, err
 	}
-	shared, err := cd.keyring.Shared(c, cd.cluster)
+	shared, err := cd.keyring.SharedSecret(c, cd.cluster)
 	if err != nil {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	if len(cd.peers) >= cd.maxPeers { // evict the least recently used; the key breaks ties
 		var oldest *Peer
@@ -162,18 +162,18 @@
 		}
 		delete(cd.peers, oldest.Key)
 	}
-	p := &Peer{Name: c.Name, Key: id, Public: c.Public, Cert: cert, Until: c.NotAfter, Shared: shared}
+	p := &Peer{Name: c.Name, Key: id, Public: c.Public, Cert: cert, NotAfter: c.NotAfter, SharedSecret: shared}
 	cd.peers[id] = p
 	return p, nil
 }
 
 // validPeer returns a known peer whose certificate has not expired.
-func (cd *Book) validPeer(id gossip.KeyID) (*Peer, error) {
+func (cd *Codec) validPeer(id gossip.KeyID) (*Peer, error) {
 	p := cd.peers[id]
 	if p == nil {
-		return nil, ErrStranger
+		return nil, ErrUnknownKey
 	}
-	if cd.clock().Unix() > p.Until {
+	if cd.clock().Unix() > p.NotAfter {
 		return nil, ErrExpired
 	}
 	cd.useCount++
@@ -248,7 +248,7 @@
 )
 
 func marshal(v any) []byte {
-	b, err := keys.Enc.Marshal(v)
+	b, err := keys.EncMode.Marshal(v)
 	if err != nil {
 		panic(err) // the bodies have no field whose encoding can fail
 	}
@@ -271,7 +271,7 @@
 }
 
 // encodeClaim returns a claim's encoding as it was received, or signs and encodes one of the instance's own.
-func (cd *Book) encodeClaim(c *gossip.Claim) []byte {
+func (cd *Codec) encodeClaim(c *gossip.Claim) []byte {
 	if c.Raw != nil {
 		return c.Raw
 	}
@@ -285,7 +285,7 @@
 
 // encodeRumour returns a rumour's encoding as it was received, or signs and encodes one of the instance's own. Each
 // of those is signed once, as long as it is cached.
-func (cd *Book) encodeRumour(r *gossip.Rumour) []byte {
+func (cd *Codec) encodeRumour(r *gossip.Rumour) []byte {
 	if r.Raw != nil {
 		return r.Raw
 	}
@@ -306,7 +306,7 @@
 
 // verifySignature reports whether an item's signature is valid. Valid signatures are cached, so that an item is usually
 // verified only once.
-func (cd *Book) verifySignature(public ed25519.PublicKey, domain string, body, signature []byte) bool {
+func (cd *Codec) verifySignature(public ed25519.PublicKey, domain string, body, signature []byte) bool {
 	h := sha256.New()
 	h.Write([]byte(domain))
 	h.Write(public)
@@ -330,11 +330,11 @@
 }
 
 // verifyClaim decodes and verifies a claim.
-func (cd *Book) verifyClaim(raw []byte) (c gossip.Claim, err error) {
+func (cd *Codec) verifyClaim(raw []byte) (c gossip.Claim, err error) {
 	var item claimItem
 	var body claimBody
-	if keys.Dec.Unmarshal(raw, &item) != nil || keys.Dec.Unmarshal(item.Body, &body) != nil {
-		return c, ErrForm
+	if keys.DecMode.Unmarshal(raw, &item) != nil || keys.DecMode.Unmarshal(item.Body, &body) != nil {
+		return c, ErrMalformed
 	}
 	var p *Peer
 	if len(item.Signer) == len(gossip.KeyID{}) {
@@ -349,7 +349,7 @@
 	if err != nil || !keys.ValidName(body.Name) || body.Kind < gossip.Alive || body.Kind > gossip.Accused ||
 		(body.Kind == gossip.Accused) == (p.Name == body.Name) || body.Clock < 0 || body.Clock > maxClockMicroseconds ||
 		body.Kind == gossip.Alive && !addr.IsValid() {
-		return c, ErrForm
+		return c, ErrMalformed
 	}
 	if !cd.verifySignature(p.Public, claimDomain, item.Body, item.Signature) {
 		return c, ErrSignature
@@ -362,12 +362,12 @@
 const maxClockMicroseconds = 100 * 365 * 24 * 3600 * 1e6
 
 // verifyRumour decodes and verifies a rumour.
-func (cd *Book) verifyRumour(t *agedRumour) (told gossip.RelayedRumour, err error) {
+func (cd *Codec) verifyRumour(t *agedRumour) (told gossip.RelayedRumour, err error) {
 	var item rumourItem
 	var body rumourBody
-	if keys.Dec.Unmarshal(t.Raw, &item) != nil || keys.Dec.Unmarshal(item.Body, &body) != nil || len(body.Key) != len(gossip.KeyID{}) ||
+	if keys.DecMode.Unmarshal(t.Raw, &item) != nil || keys.DecMode.Unmarshal(item.Body, &body) != nil || len(body.Key) != len(gossip.KeyID{}) ||
 		body.Symptom > gossip.Late || body.Made < 0 || body.Made > maxClockMicroseconds {
-		return told, ErrForm
+		return told, ErrMalformed
 	}
 	p, err := cd.validPeer(gossip.KeyID(body.Key))
 	if err != nil {
@@ -382,12 +382,12 @@
 }
 
 // Knows reports whether the certificate of a key has been verified.
-func (cd *Book) Knows(id gossip.KeyID) bool { return cd.peers[id] != nil }
+func (cd *Codec) Knows(id gossip.KeyID) bool { return cd.peers[id] != nil }
 
 // EncodeDatagram encodes, signs and tags a message for the peer with the given key. It fails if the peer is unknown.
 // The datagram carries this instance's certificate if its first claim is the instance's own; datagrams to a receiver
 // that may not know the instance start with such a claim.
-func (cd *Book) Datagram(to gossip.KeyID, m *gossip.Message) ([]byte, error) {
+func (cd *Codec) EncodeDatagram(to gossip.KeyID, m *gossip.Message) ([]byte, error) {
 	p, err := cd.validPeer(to)
 	if err != nil {
 		return nil, err
@@ -413,13 +413,13 @@
 	d = append(d, make([]byte, tagSize)...)
 	d = append(d, marshal(&body)...)
 	d = append(d, ed25519.Sign(cd.keyring.Private, cd.signedBytes(d))...)
-	copy(d[tagOffset:], datagramTag(p.Shared, d))
+	copy(d[tagOffset:], datagramTag(p.SharedSecret, d))
 	return d, nil
 }
 
 // signedBytes returns the bytes that a datagram's signature covers: everything but the tag, which is computed last and
 // differs between receivers.
-func (cd *Book) signedBytes(d []byte) []byte {
+func (cd *Codec) signedBytes(d []byte) []byte {
 	s := make([]byte, 0, len(datagramDomain)+len(cd.cluster)+1+len(d))
 	s = append(s, datagramDomain...)
 	s = append(append(s, cd.cluster...), 0)
@@ -437,16 +437,16 @@
 
 // HasUnknownCertificate reports whether opening a datagram involves verifying a certificate that is not known yet,
 // which is the most expensive case. It reads only a few bytes of the header.
-func (cd *Book) Meets(d []byte) bool {
+func (cd *Codec) HasUnknownCertificate(d []byte) bool {
 	return len(d) > headerSize && d[3]&flagCertificate != 0 && cd.peers[gossip.KeyID(d[8:16])] == nil
 }
 
 // Open verifies and decodes a datagram. Invalid items in it are left out and their errors passed to dropped. Cheaper
 // checks come first.
-func (cd *Book) Open(d []byte, dropped func(error)) (gossip.Datagram, error) {
+func (cd *Codec) Open(d []byte, dropped func(error)) (gossip.Datagram, error) {
 	var out gossip.Datagram
 	if len(d) < headerSize+ed25519.SignatureSize || d[0] != 'g' || d[1] != 'w' {
-		return out, ErrForm
+		return out, ErrMalformed
 	}
 	if d[2] != protocolVersion {
 		return out, ErrVersion
@@ -457,13 +457,13 @@
 	id := gossip.KeyID(d[8:16])
 	rest := d[headerSize : len(d)-ed25519.SignatureSize]
 	p, err := cd.validPeer(id)
-	if err == ErrStranger && d[3]&flagCertificate != 0 {
+	if err == ErrUnknownKey && d[3]&flagCertificate != 0 {
 		p, err = cd.verifySender(id, rest)
 	}
 	if err != nil {
 		return out, err
 	}
-	if !hmac.Equal(datagramTag(p.Shared, d), d[tagOffset:headerSize]) {
+	if !hmac.Equal(datagramTag(p.SharedSecret, d), d[tagOffset:headerSize]) {
 		return out, ErrTag
 	}
 	signed := cd.signedBytes(d[:len(d)-ed25519.SignatureSize])
@@ -478,28 +478,28 @@
 }
 
 // verifySender verifies the sender's certificate, which it takes from a body that is not verified yet.
-func (cd *Book) verifySender(id gossip.KeyID, raw []byte) (*Peer, error) {
+func (cd *Codec) verifySender(id gossip.KeyID, raw []byte) (*Peer, error) {
 	var body messageBody
 	var item claimItem
-	if keys.Dec.Unmarshal(raw, &body) != nil || len(body.Claims) == 0 || keys.Dec.Unmarshal(body.Claims[0], &item) != nil {
-		return nil, ErrForm
+	if keys.DecMode.Unmarshal(raw, &body) != nil || len(body.Claims) == 0 || keys.DecMode.Unmarshal(body.Claims[0], &item) != nil {
+		return nil, ErrMalformed
 	}
-	if c, err := keys.ParseCertificate(item.Signer); err != nil || c.Key() != id {
-		return nil, ErrForm
+	if c, err := keys.ParseCertificate(item.Signer); err != nil || c.KeyID() != id {
+		return nil, ErrMalformed
 	}
 	return cd.verifyPeer(item.Signer)
 }
 
 // decodeMessage decodes the body of a datagram and verifies its items.
-func (cd *Book) decodeMessage(raw []byte, dropped func(error)) (*gossip.Message, error) {
+func (cd *Codec) decodeMessage(raw []byte, dropped func(error)) (*gossip.Message, error) {
 	var body messageBody
-	if err := keys.Dec.Unmarshal(raw, &body); err != nil {
-		return nil, ErrForm
+	if err := keys.DecMode.Unmarshal(raw, &body); err != nil {
+		return nil, ErrMalformed
 	}
 	at, err := parseAddr(body.TargetAt)
 	if err != nil || body.Kind < gossip.Ping || body.Kind > gossip.Tell || len(body.Claims)+len(body.Rumours) > maxItems ||
 		body.Target != "" && !keys.ValidName(body.Target) || body.Clock < 0 || body.Clock > maxClockMicroseconds {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	m := &gossip.Message{Kind: body.Kind, Number: body.Number, WantClaim: body.Prove, Target: body.Target, TargetAddr: at,
 		Clock: time.Duration(body.Clock) * time.Microsecond}
@@ -508,7 +508,7 @@
 }
 
 // verifyItems verifies claims and rumours: claims first, as they carry the certificates of the rumours' observers.
-func (cd *Book) verifyItems(claims [][]byte, rumours []agedRumour, dropped func(error)) (cs []gossip.Claim, rs []gossip.RelayedRumour) {
+func (cd *Codec) verifyItems(claims [][]byte, rumours []agedRumour, dropped func(error)) (cs []gossip.Claim, rs []gossip.RelayedRumour) {
 	for _, raw := range claims {
 		if c, err := cd.verifyClaim(raw); err == nil {
 			cs = append(cs, c)
@@ -527,28 +527,28 @@
 }
 
 // EncodeDigest encodes a digest for a stream, signing the instance's own claim.
-func (cd *Book) EncodeDigest(d *gossip.Digest) []byte {
+func (cd *Codec) EncodeDigest(d *gossip.Digest) []byte {
 	return marshal(&digestBody{Own: cd.encodeClaim(&d.Own), Members: d.Members, Dead: d.Dead, Rumours: d.Rumours})
 }
 
 // DecodeDigest decodes a digest received from a peer. The claim in it must be the peer's own.
-func (cd *Book) Digest(raw []byte, from *Peer) (*gossip.Digest, error) {
+func (cd *Codec) DecodeDigest(raw []byte, from *Peer) (*gossip.Digest, error) {
 	var body digestBody
-	if err := keys.Dec.Unmarshal(raw, &body); err != nil || len(body.Members)+len(body.Dead)+len(body.Rumours) > 3*maxMarks {
-		return nil, ErrForm
+	if err := keys.DecMode.Unmarshal(raw, &body); err != nil || len(body.Members)+len(body.Dead)+len(body.Rumours) > 3*maxMarks {
+		return nil, ErrMalformed
 	}
 	own, err := cd.verifyClaim(body.Own)
 	if err != nil {
 		return nil, err
 	}
 	if own.Name != from.Name || own.Key != from.Key || own.By != own.Name {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	return &gossip.Digest{Own: own, Members: body.Members, Dead: body.Dead, Rumours: body.Rumours}, nil
 }
 
 // EncodeItems encodes items for a stream.
-func (cd *Book) EncodeItems(i *gossip.Items) []byte {
+func (cd *Codec) EncodeItems(i *gossip.Items) []byte {
 	body := itemsBody{Wants: i.MissingClaims, Lacks: i.MissingRumours, Alive: i.Reachable}
 	for j := range i.Claims {
 		body.Claims = append(body.Claims, cd.encodeClaim(&i.Claims[j]))
@@ -563,15 +563,15 @@
 }
 
 // DecodeItems decodes items. Invalid ones are left out and their errors passed to dropped.
-func (cd *Book) Items(raw []byte, dropped func(error)) (*gossip.Items, error) {
+func (cd *Codec) DecodeItems(raw []byte, dropped func(error)) (*gossip.Items, error) {
 	var body itemsBody
-	if err := keys.Dec.Unmarshal(raw, &body); err != nil || len(body.Wants)+len(body.Lacks)+len(body.Alive) > 3*maxMarks ||
+	if err := keys.DecMode.Unmarshal(raw, &body); err != nil || len(body.Wants)+len(body.Lacks)+len(body.Alive) > 3*maxMarks ||
 		len(body.Claims)+len(body.Rumours) > 8*maxItems {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	i := &gossip.Items{MissingClaims: body.Wants, MissingRumours: body.Lacks, Reachable: body.Alive}
 	if len(body.SeenAt) > 0 && i.ObservedAddr.UnmarshalBinary(body.SeenAt) != nil {
-		return nil, ErrForm
+		return nil, ErrMalformed
 	}
 	i.Claims, i.Rumours = cd.verifyItems(body.Claims, body.Rumours, dropped)
 	return i, nil
@@ -581,17 +581,17 @@
 const TagSize = tagSize
 
 // ClusterHash returns the hash of the cluster's name that identifies the cluster in headers.
-func (cd *Book) Cluster() uint32 { return cd.clusterHash }
+func (cd *Codec) ClusterHash() uint32 { return cd.clusterHash }
 
 // Certificate returns the instance's own certificate, encoded.
-func (cd *Book) Certificate() []byte { return cd.certificate }
+func (cd *Codec) Certificate() []byte { return cd.certificate }
 
 // VerifyPeer verifies the certificate of the instance at the other end of a stream.
-func (cd *Book) Meet(cert []byte) (*Peer, error) { return cd.verifyPeer(cert) }
+func (cd *Codec) VerifyPeer(cert []byte) (*Peer, error) { return cd.verifyPeer(cert) }
 
 // StreamMAC computes and verifies the tags of the frames on one stream. The frames of each direction are numbered, so
 // that they have to arrive complete and in order.
-type Session struct {
+type StreamMAC struct {
 	key          []byte
 	sent         uint64 // frames
 	received     uint64 // frames
@@ -601,12 +601,12 @@
 
 // NewStreamMAC returns the StreamMAC of a stream with a peer. Its key is derived from the shared secret and the
 // nonces of the opening and the accepting side. The argument opened tells whether this side opened the stream.
-func (cd *Book) Session(p *Peer, openerNonce, acceptorNonce []byte, opened bool) *Session {
-	m := hmac.New(sha256.New, p.Shared)
+func (cd *Codec) NewStreamMAC(p *Peer, openerNonce, acceptorNonce []byte, opened bool) *StreamMAC {
+	m := hmac.New(sha256.New, p.SharedSecret)
 	m.Write([]byte("gorsewell stream 1\x00"))
 	m.Write(openerNonce)
 	m.Write(acceptorNonce)
-	s := &Session{key: m.Sum(nil), sendLabel: 'o', receiveLabel: 'a'}
+	s := &StreamMAC{key: m.Sum(nil), sendLabel: 'o', receiveLabel: 'a'}
 	if !opened {
 		s.sendLabel, s.receiveLabel = s.receiveLabel, s.sendLabel
 	}
@@ -614,7 +614,7 @@
 }
 
 // compute returns the tag of a frame, given the label of its direction and its number.
-func (s *Session) compute(label byte, number uint64, frame []byte) []byte {
+func (s *StreamMAC) compute(label byte, number uint64, frame []byte) []byte {
 	m := hmac.New(sha256.New, s.key)
 	m.Write(byteOrder.AppendUint64([]byte{label}, number))
 	m.Write(frame)
@@ -622,13 +622,13 @@
 }
 
 // Tag returns the tag of the next frame to send.
-func (s *Session) Seal(frame []byte) []byte {
+func (s *StreamMAC) Tag(frame []byte) []byte {
 	s.sent++
 	return s.compute(s.sendLabel, s.sent, frame)
 }
 
 // Verify reports whether the tag of the next received frame is valid.
-func (s *Session) Fits(frame, tag []byte) bool {
+func (s *StreamMAC) Verify(frame, tag []byte) bool {
 	s.received++
 	return hmac.Equal(s.compute(s.receiveLabel, s.received, frame), tag)
 }
--- a/internal/gossip/wire/wire_test.go
+++ b/internal/gossip/wire/wire_test.go
@@ -51,12 +51,12 @@
 	return k
 }
 
-func (f *fixture) newCodec(name, cluster string) *Book {
-	return NewBook(f.issueKeyring(name), cluster, uint64(len(name))*77, 8, func() time.Time { return f.now })
+func (f *fixture) newCodec(name, cluster string) *Codec {
+	return NewCodec(f.issueKeyring(name), cluster, uint64(len(name))*77, 8, func() time.Time { return f.now })
 }
 
 // introduce makes the certificates of two instances known to each other.
-func (f *fixture) introduce(a, b *Book) {
+func (f *fixture) introduce(a, b *Codec) {
 	if _, err := a.verifyPeer(b.certificate); err != nil {
 		f.t.Fatal(err)
 	}
@@ -68,12 +68,12 @@
 var testAddr = netip.MustParseAddrPort("10.1.2.3:7946")
 
 // aliveClaim returns a claim of the instance itself.
-func aliveClaim(b *Book) gossip.Claim {
+func aliveClaim(b *Codec) gossip.Claim {
 	return gossip.Claim{Kind: gossip.Alive, Name: b.keyring.Certificate.Name, By: b.keyring.Certificate.Name, Key: b.ownKey, Run: b.runID, Incarnation: 7,
 		Addr: testAddr, Clock: 5 * time.Second}
 }
 
-func silentRumour(b *Book, number uint32) gossip.Rumour {
+func silentRumour(b *Codec, number uint32) gossip.Rumour {
 	return gossip.Rumour{Observer: b.keyring.Certificate.Name, Key: b.ownKey, Run: b.runID, Server: 1 << 63, Symptom: gossip.Silent, Strength: 255,
 		Number: number, Made: 99 * time.Hour}
 }
@@ -94,7 +94,7 @@
 	accused := gossip.Claim{Kind: gossip.Accused, Name: "delta", By: "alpha", Key: a.ownKey, Run: a.runID, Incarnation: 3, Clock: time.Second}
 	m := &gossip.Message{Kind: gossip.PingReq, Number: 9, WantClaim: true, Target: "gamma", TargetAddr: testAddr, Clock: time.Minute,
 		Claims: []gossip.Claim{aliveClaim(a), accused}, Rumours: []gossip.RelayedRumour{{Rumour: silentRumour(a, 1), Age: 1500 * time.Millisecond}}}
-	d, err := a.Datagram(b.ownKey, m)
+	d, err := a.EncodeDatagram(b.ownKey, m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 	// beta forwards the items, which alpha has signed, together with alpha's certificate.
 	fromA := got.Message.Claims[0]
 	fromA.Raw = a.encodeClaim(&gossip.Claim{Kind: gossip.Alive, Name: "alpha", Run: a.runID, Incarnation: 7, Addr: testAddr, Clock: 5 * time.Second})
-	d, err = b.Datagram(c.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{fromA}, Rumours: []gossip.RelayedRumour{forwarded}})
+	d, err = b.EncodeDatagram(c.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{fromA}, Rumours: []gossip.RelayedRumour{forwarded}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 	f := newFixture(t)
 	a, b := f.newCodec("alpha", "x"), f.newCodec("beta", "x")
 	f.introduce(a, b)
-	d, err := a.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Ping, Number: 1, Rumours: []gossip.RelayedRumour{{Rumour: silentRumour(a, 1)}}})
+	d, err := a.EncodeDatagram(b.ownKey, &gossip.Message{Kind: gossip.Ping, Number: 1, Rumours: []gossip.RelayedRumour{{Rumour: silentRumour(a, 1)}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,8 +165,8 @@
 	f.introduce(stranger, b)
 	delete(b.peers, stranger.ownKey)
 	ping := &gossip.Message{Kind: gossip.Ping}
-	send := func(from *Book, to *Book, m *gossip.Message) []byte {
-		d, err := from.Datagram(to.ownKey, m)
+	send := func(from *Codec, to *Codec, m *gossip.Message) []byte {
+		d, err := from.EncodeDatagram(to.ownKey, m)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -184,23 +184,23 @@
 		t.Error("datagram of another cluster: got no error, want one")
 	}
 	open(send(a, other, ping), ErrTag) // for another receiver
-	open(send(stranger, b, ping), ErrStranger)
+	open(send(stranger, b, ping), ErrUnknownKey)
 	open(send(stranger, b, &gossip.Message{Kind: gossip.Ping, Claims: []gossip.Claim{aliveClaim(stranger)}}), nil) // the datagram carries the sender's certificate
-	foreign.peers[b.ownKey] = &Peer{Key: b.ownKey, Until: 1 << 60, Shared: []byte("guessed")}
-	open(send(foreign, b, &gossip.Message{Kind: gossip.Ping, Claims: []gossip.Claim{aliveClaim(foreign)}}), ErrAuthority)
+	foreign.peers[b.ownKey] = &Peer{Key: b.ownKey, NotAfter: 1 << 60, SharedSecret: []byte("guessed")}
+	open(send(foreign, b, &gossip.Message{Kind: gossip.Ping, Claims: []gossip.Claim{aliveClaim(foreign)}}), ErrUnknownAuthority)
 	old := send(a, b, ping)
 	old[2] = 2
 	open(old, ErrVersion)
-	open([]byte("gw"), ErrForm)
+	open([]byte("gw"), ErrMalformed)
 	open(slices.Concat([]byte("gw\x01\x00"), make([]byte, 400)), ErrCluster)
 
 	expired := send(a, b, ping)
 	f.now = f.now.Add(2 * time.Hour)
 	open(expired, ErrExpired)
-	if got := b.Expired(); len(got) != 2 || b.Knows(a.ownKey) {
+	if got := b.RemoveExpired(); len(got) != 2 || b.Knows(a.ownKey) {
 		t.Errorf("expired keys: got %v, want those of 2 peers, which are then unknown", got)
 	}
-	open(expired, ErrStranger)
+	open(expired, ErrUnknownKey)
 }
 
 // An instance that forwards items cannot forge a claim or a rumour of another instance.
@@ -218,13 +218,13 @@
 	body := marshal(&claimBody{Kind: gossip.Alive, Name: "alpha", Incarnation: 99, Addr: addrBytes(testAddr)})
 	resigned.Raw = marshal(&claimItem{Body: body, Signer: a.certificate, Signature: ed25519.Sign(liar.keyring.Private, append([]byte(claimDomain+"x\x00"), body...))})
 	var drops []error
-	d, err := liar.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{claim, resigned}, Rumours: []gossip.RelayedRumour{{Rumour: forged}}})
+	d, err := liar.EncodeDatagram(b.ownKey, &gossip.Message{Kind: gossip.Tell, Claims: []gossip.Claim{claim, resigned}, Rumours: []gossip.RelayedRumour{{Rumour: forged}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := b.Open(d, func(err error) { drops = append(drops, err) })
 	if err != nil || len(got.Message.Claims) != 0 || len(got.Message.Rumours) != 0 ||
-		!slices.Equal(drops, []error{ErrForm, ErrSignature, ErrSignature}) {
+		!slices.Equal(drops, []error{ErrMalformed, ErrSignature, ErrSignature}) {
 		t.Errorf("Open: got error %v, message %+v, drops %v, want no error, no items, one malformed and two with invalid signatures",
 			err, got.Message, drops)
 	}
@@ -236,7 +236,7 @@
 
 func TestRekeyDuringAuthorityRotation(t *testing.T) {
 	f, next := newFixture(t), newFixture(t)
-	a, b := f.newCodec("alpha", "x"), NewBook(f.issueKeyring("beta", next.authority), "x", 1, 8, func() time.Time { return f.now })
+	a, b := f.newCodec("alpha", "x"), NewCodec(f.issueKeyring("beta", next.authority), "x", 1, 8, func() time.Time { return f.now })
 	f.introduce(a, b)
 	c, err := next.authority.Issue("alpha", a.keyring.Certificate.Public, f.now.Add(time.Hour))
 	if err != nil {
@@ -250,7 +250,7 @@
 	if !a.Knows(b.ownKey) {
 		t.Error("peer of an authority that is still accepted: got unknown, want known")
 	}
-	d, err := a.Datagram(b.ownKey, &gossip.Message{Kind: gossip.Ping, Claims: []gossip.Claim{aliveClaim(a)}})
+	d, err := a.EncodeDatagram(b.ownKey, &gossip.Message{Kind: gossip.Ping, Claims: []gossip.Claim{aliveClaim(a)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -271,7 +271,7 @@
 func TestEncodedSizesStayWithinEstimates(t *testing.T) {
 	f := newFixture(t)
 	name := strings.Repeat("n", keys.MaxName)
-	a, b := NewBook(f.issueKeyring(name), "x", 1<<63, 8, func() time.Time { return f.now }), f.newCodec("beta", "x")
+	a, b := NewCodec(f.issueKeyring(name), "x", 1<<63, 8, func() time.Time { return f.now }), f.newCodec("beta", "x")
 	f.introduce(a, b)
 	claim := aliveClaim(a)
 	claim.Incarnation, claim.Clock, claim.Addr = 1<<31, maxClockMicroseconds*time.Microsecond/2, netip.MustParseAddrPort("[2001:db8:ffff:ffff:ffff:ffff:ffff:ffff]:65535")
@@ -283,7 +283,7 @@
 		r.Run = 1 << 63
 		m.Rumours = append(m.Rumours, gossip.RelayedRumour{Rumour: r, Age: time.Hour})
 	}
-	d, err := a.Datagram(b.ownKey, m)
+	d, err := a.EncodeDatagram(b.ownKey, m)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,14 +302,14 @@
 	if len(raw) > digest.Bytes() {
 		t.Errorf("size of the digest: got %d bytes, want at most %d", len(raw), digest.Bytes())
 	}
-	if got, err := b.Digest(raw, b.peers[a.ownKey]); err != nil || !slices.Equal(got.Rumours, digest.Rumours) || got.Own.Name != name {
+	if got, err := b.DecodeDigest(raw, b.peers[a.ownKey]); err != nil || !slices.Equal(got.Rumours, digest.Rumours) || got.Own.Name != name {
 		t.Errorf("decoded digest: got %+v, error %v, want the encoded one", got, err)
 	}
-	if _, err := b.Digest(raw, &Peer{Name: "another", Key: a.ownKey}); err == nil {
+	if _, err := b.DecodeDigest(raw, &Peer{Name: "another", Key: a.ownKey}); err == nil {
 		t.Error("digest with the claim of another instance: got no error, want one")
 	}
 	for _, m := range []*gossip.Message{{Kind: gossip.Ping}, {Kind: gossip.Ping, Claims: m.Claims[:1]}, {Kind: gossip.Tell, Rumours: m.Rumours[:1]}} {
-		d, err := a.Datagram(b.ownKey, m)
+		d, err := a.EncodeDatagram(b.ownKey, m)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -343,7 +343,7 @@
 	a, b := fix.newCodec("alpha", "x"), fix.newCodec("beta", "x")
 	fix.introduce(a, b)
 	for _, m := range []*gossip.Message{{Kind: gossip.Ping}, {Kind: gossip.Tell, Claims: []gossip.Claim{aliveClaim(a)}, Rumours: []gossip.RelayedRumour{{Rumour: silentRumour(a, 1)}}}} {
-		d, err := a.Datagram(b.ownKey, m)
+		d, err := a.EncodeDatagram(b.ownKey, m)
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -356,8 +356,8 @@
 		b.Open(d, func(error) {})
 		// The bodies that an attacker with a valid key can send.
 		b.decodeMessage(d, func(error) {})
-		b.Items(d, func(error) {})
-		b.Digest(d, b.peers[a.ownKey])
+		b.DecodeItems(d, func(error) {})
+		b.DecodeDigest(d, b.peers[a.ownKey])
 		b.verifyPeer(d)
 	})
 }
@@ -370,7 +370,7 @@
 	for i := range uint32(7) {
 		m.Rumours = append(m.Rumours, gossip.RelayedRumour{Rumour: silentRumour(x, i)})
 	}
-	valid, err := x.Datagram(y.ownKey, m)
+	valid, err := x.EncodeDatagram(y.ownKey, m)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/loopback/liar.go
+++ b/internal/loopback/liar.go
@@ -42,7 +42,7 @@
 func (r *rig) lie(p *process, how string) {
 	name := fmt.Sprintf("g%04d", p.index)
 	base := filepath.Join(r.dir, name)
-	ring, err := keys.Load(base+".crt", base+".key", []string{filepath.Join(r.dir, "day.authority")}, time.Now())
+	ring, err := keys.LoadKeyring(base+".crt", base+".key", []string{filepath.Join(r.dir, "day.authority")}, time.Now())
 	if err != nil {
 		r.check.event("liar %d: %v", p.index, err)
 		return
@@ -51,7 +51,7 @@
 	g := &r.World.Gossip
 	s.Cluster, s.Listen, s.Seeds = "day", p.gossip, []string{r.gateways[0].gossip, r.gateways[1].gossip, r.gateways[2].gossip}
 	s.ProbeEvery, s.ProbeTimeout, s.SuspectFor, s.TellEvery, s.SyncEvery, s.RumourLife = g.ProbeEvery, g.ProbeTimeout, g.SuspectFor, g.TellEvery, g.SyncEvery, g.RumourLife
-	l := &liar{r: r, how: how, name: name, key: ring.Certificate.Key(), rng: rand.New(rand.NewPCG(r.Seed, 0x11a4+uint64(p.index))), number: 1 << 20,
+	l := &liar{r: r, how: how, name: name, key: ring.Certificate.KeyID(), rng: rand.New(rand.NewPCG(r.Seed, 0x11a4+uint64(p.index))), number: 1 << 20,
 		clock: exchange.StartClock()}
 	if l.c, err = carrier.New(s, name, ring, l.clock, nobody{}, func(uint32) string { return "" }); err != nil {
 		r.check.event("liar %d: %v", p.index, err)
@@ -91,7 +91,7 @@
 
 func (l *liar) rumour(num int, what gossip.Symptom, ahead time.Duration) gossip.RelayedRumour {
 	l.number++
-	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.name, Key: l.key, Run: l.c.RunNumber(), Server: xxhash.Sum64String(fmt.Sprintf("s-%08x", num)),
+	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.name, Key: l.key, Run: l.c.RunID(), Server: xxhash.Sum64String(fmt.Sprintf("s-%08x", num)),
 		Symptom: what, Strength: 255, Number: l.number, Made: l.clock.Now() + ahead}}
 }
 
@@ -109,7 +109,7 @@
 			m.Rumours = append(m.Rumours, l.rumour(g.members[0].num, gossip.Unreachable, 0))
 		case "accuse":
 			p := peers[l.rng.IntN(len(peers))]
-			m.Claims = append(m.Claims, gossip.Claim{Kind: gossip.Accused, Name: p.Name, Incarnation: 1 << 20, By: l.name, Key: l.key, Run: l.c.RunNumber(),
+			m.Claims = append(m.Claims, gossip.Claim{Kind: gossip.Accused, Name: p.Name, Incarnation: 1 << 20, By: l.name, Key: l.key, Run: l.c.RunID(),
 				Clock: l.clock.Now()})
 		case "future":
 			m.Rumours = append(m.Rumours, l.rumour(num, gossip.Silent, time.Duration(l.rng.IntN(3600))*time.Second))
