--- a/cmd/gorsewell/run.go
+++ b/cmd/gorsewell/run.go
@@ -38,12 +38,12 @@
 		MemoryMB int64 `json:"memory_mb"`
 		Sockets  int
 	}
-	Known      discovery.Page
+	Known      discovery.List
 	Deployment json.RawMessage `json:"settings"`
 }
 
 // read reads the file at LB_CONFIG. At the start the environment goes over the file; later the file is newer.
-func read(starting bool) (*given, *deployment.Told, error) {
+func read(starting bool) (*given, *deployment.Settings, error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
 		return nil, nil, errors.New("LB_CONFIG is not set")
@@ -84,7 +84,7 @@
 	// On sockets no list comes by itself, whatever way the deployment has of its own: it is asked for.
 	told.AskWithin = discovery.AskWithin(told)
 	told.ListOnRequest = true
-	if _, _, err := discovery.NewNames(exchange.StartClock(), told).Listed(&g.Known); err != nil {
+	if _, _, err := discovery.NewNames(exchange.StartClock(), told).Convert(&g.Known); err != nil {
 		return nil, nil, fmt.Errorf("known: %w", err)
 	}
 	return g, told, nil
@@ -147,7 +147,7 @@
 	if err != nil {
 		return nil, err
 	}
-	desk.Share(gossip)
+	desk.SetGossip(gossip)
 	slog.Info("gossip", "what", "listening", "addr", gossip.Addr().String())
 	return gossip, nil
 }
@@ -174,7 +174,7 @@
 	if err != nil {
 		return err
 	}
-	told.LongestMessage = int(g.Limits.MemoryMB) << 20 / messageShare
+	told.MaxMessageBytes = int(g.Limits.MemoryMB) << 20 / messageShare
 	runtime.GOMAXPROCS(max(1, int(g.Limits.Cores)))
 	if g.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(g.Limits.MemoryMB << 20 * 3 / 4)
@@ -193,7 +193,7 @@
 	}
 	clock, counts := exchange.StartClock(), &counters.Set{}
 	names := discovery.NewNames(clock, told)
-	known, addrs, err := names.Listed(&g.Known)
+	known, addrs, err := names.Convert(&g.Known)
 	if err != nil {
 		return err
 	}
--- a/internal/clientside/accept.go
+++ b/internal/clientside/accept.go
@@ -65,9 +65,9 @@
 // Acceptor accepts client connections and serves them.
 type Acceptor struct {
 	clock      exchange.Clock
-	dispatcher exchange.Desk
+	dispatcher exchange.Dispatcher
 	counts     *counters.Set
-	settings   *deployment.Told
+	settings   *deployment.Settings
 
 	// opTypes maps the name of each op type to its index.
 	opTypes map[string]uint8
@@ -90,7 +90,7 @@
 }
 
 // New returns an acceptor for at most maxConns connections.
-func New(clock exchange.Clock, dispatcher exchange.Desk, counts *counters.Set, settings *deployment.Told, maxConns int) *Acceptor {
+func New(clock exchange.Clock, dispatcher exchange.Dispatcher, counts *counters.Set, settings *deployment.Settings, maxConns int) *Acceptor {
 	a := &Acceptor{clock: clock, dispatcher: dispatcher, counts: counts, settings: settings, opTypes: map[string]uint8{},
 		maxConns: int64(maxConns), conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1), openIDs: map[string]struct{}{}}
 	for i, name := range settings.OpTypeNames {
@@ -166,7 +166,7 @@
 			netConn.Close()
 			continue
 		}
-		c := &conn{acceptor: a, net: netConn, readBuffer: pgwire.ReadBuffer{MaxMessage: a.settings.LongestMessage}, replies: make(chan reply, maxPendingCommands+extraReplies)}
+		c := &conn{acceptor: a, net: netConn, readBuffer: pgwire.ReadBuffer{MaxMessage: a.settings.MaxMessageBytes}, replies: make(chan reply, maxPendingCommands+extraReplies)}
 		c.lastActivity.Store(int64(a.clock.Now()))
 		a.mu.Lock()
 		a.conns[c] = struct{}{}
@@ -348,7 +348,7 @@
 	}
 	if reason == errClientGone {
 		for _, op := range c.openOps {
-			a.dispatcher.Left(op)
+			a.dispatcher.ClientLeft(op)
 		}
 	}
 	close(c.replies)
--- a/internal/clientside/answer.go
+++ b/internal/clientside/answer.go
@@ -49,7 +49,7 @@
 		// A client gets as long to read a reply as a server gets to accept a connection, or longer until its op is due.
 		deadline := c.acceptor.clock.Now() + c.acceptor.settings.ConnectTimeout
 		if r.op != nil {
-			deadline = max(deadline, r.op.Due)
+			deadline = max(deadline, r.op.Deadline)
 		}
 		if failed == nil && len(r.bytes) > 0 {
 			c.net.SetWriteDeadline(c.acceptor.clock.Time(deadline))
@@ -78,8 +78,8 @@
 		return pgwire.AppendReady(op.Answer)
 	case exchange.BusyReplied:
 		retryAfter := ""
-		if op.ComeBackIn > 0 {
-			retryAfter = strconv.FormatInt(op.ComeBackIn.Milliseconds(), 10)
+		if op.RetryAfter > 0 {
+			retryAfter = strconv.FormatInt(op.RetryAfter.Milliseconds(), 10)
 		}
 		return pgwire.AppendReady(pgwire.AppendError(nil, "ERROR", "53300", "busy, try again", retryAfter))
 	case exchange.Errored:
--- a/internal/clientside/clientside_test.go
+++ b/internal/clientside/clientside_test.go
@@ -32,21 +32,21 @@
 	onTake func(op *exchange.Exchange)
 }
 
-func (d *fakeDispatcher) Take(op *exchange.Exchange) {
+func (d *fakeDispatcher) Submit(op *exchange.Exchange) {
 	d.mu.Lock()
 	d.taken = append(d.taken, op)
 	d.mu.Unlock()
 	go d.onTake(op)
 }
 
-func (d *fakeDispatcher) Left(op *exchange.Exchange) { d.left <- op }
+func (d *fakeDispatcher) ClientLeft(op *exchange.Exchange) { d.left <- op }
 
 // Stop ends all open ops with an error.
 func (d *fakeDispatcher) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, op := range d.taken {
-		if !op.Over() {
+		if !op.IsDone() {
 			finish(op, exchange.Errored)
 		}
 	}
@@ -88,7 +88,7 @@
 func startAcceptor(t *testing.T, maxConns int, onTake func(*exchange.Exchange)) (a *Acceptor, d *fakeDispatcher, addr string, stop func()) {
 	t.Helper()
 	d = &fakeDispatcher{left: make(chan *exchange.Exchange, 1024), onTake: onTake}
-	settings := &deployment.Told{OpTypeNames: []string{"lookup", "save"}, ConnectTimeout: 30 * time.Millisecond}
+	settings := &deployment.Settings{OpTypeNames: []string{"lookup", "save"}, ConnectTimeout: 30 * time.Millisecond}
 	settings.OpTypes = []choice.OpType{{Timeout: time.Second}, {Timeout: time.Second}}
 	a = New(exchange.StartClock(), d, &counters.Set{}, settings, maxConns)
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -143,8 +143,8 @@
 		expect(t, c, "")
 		expect(t, c, "v1")
 	}
-	if op := d.taken[0]; string(op.Statement.(*pgwire.Statement).Text) != lookupQuery || op.OpType != 0 || op.Group != 3 || op.Again ||
-		op.After != choice.LongPast {
+	if op := d.taken[0]; string(op.Statement.(*pgwire.Statement).Text) != lookupQuery || op.OpType != 0 || op.Group != 3 || op.IsRetry ||
+		op.MinPosition != choice.LongPast {
 		t.Errorf("got op %+v", op)
 	}
 }
@@ -171,7 +171,7 @@
 	t.Parallel()
 	outcome := exchange.BusyReplied
 	_, _, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) {
-		op.ComeBackIn = 250 * time.Millisecond
+		op.RetryAfter = 250 * time.Millisecond
 		finish(op, outcome)
 	})
 	c := dial(t, addr)
@@ -214,7 +214,7 @@
 		leave(c)
 		select {
 		case op := <-d.left:
-			finish(op, exchange.Left)
+			finish(op, exchange.ClientLeft)
 		case <-time.After(5 * time.Second):
 			t.Fatalf("%s: disconnect not detected", name)
 		}
@@ -255,7 +255,7 @@
 			for range c.want {
 				select {
 				case op := <-d.left:
-					finish(op, exchange.Left)
+					finish(op, exchange.ClientLeft)
 				case <-time.After(20 * time.Second):
 					t.Fatal("disconnect not detected")
 				}
@@ -337,7 +337,7 @@
 	c.Close()
 	select {
 	case op := <-d.left:
-		finish(op, exchange.Left)
+		finish(op, exchange.ClientLeft)
 	case <-time.After(20 * time.Second):
 		t.Fatal("disconnect not detected")
 	}
@@ -689,7 +689,7 @@
 	if _, err := dial(t, addr).Query(strings.Replace(lookupQuery, "d=400", "d=4000000000", 1)); err != nil {
 		t.Fatal(err)
 	}
-	if left := d.taken[0].Due - a.clock.Now(); left > time.Second {
+	if left := d.taken[0].Deadline - a.clock.Now(); left > time.Second {
 		t.Errorf("got %v left, want at most 1s", left)
 	}
 }
@@ -808,7 +808,7 @@
 	expect(t, busy, "$")
 	expect(t, idle, "$")
 	disconnecting.Close()
-	finish(<-d.left, exchange.Left) // a disconnect is still detected
+	finish(<-d.left, exchange.ClientLeft) // a disconnect is still detected
 	select {
 	case <-stopped:
 	case <-time.After(5 * time.Second):
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -294,13 +294,13 @@
 	}
 	c.sentCommand.Store(true)
 	now := c.acceptor.clock.Now()
-	op := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), Again: s.Retry,
-		Due: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout), Target: c.acceptor.settings.OpTypes[opType].Target, After: choice.LongPast, Done: make(chan struct{})}
+	op := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), IsRetry: s.Retry,
+		Deadline: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout), Target: c.acceptor.settings.OpTypes[opType].Target, MinPosition: choice.LongPast, Done: make(chan struct{})}
 	if position, ok := c.acceptor.clock.FromUnix(s.After); ok {
-		op.After = position
+		op.MinPosition = position
 	}
-	c.openOps = append(slices.DeleteFunc(c.openOps, (*exchange.Exchange).Over), op)
-	c.acceptor.dispatcher.Take(op)
+	c.openOps = append(slices.DeleteFunc(c.openOps, (*exchange.Exchange).IsDone), op)
+	c.acceptor.dispatcher.Submit(op)
 	c.enqueue(reply{op: op, opID: string(s.ID), answersCommand: true})
 	return nil
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -72,7 +72,7 @@
 				v.flatten(join(strconv.Itoa(i)), inner)
 				v[join("count")] = strconv.Itoa(len(x))
 			default:
-				scalars = append(scalars, Plain(fmt.Sprint(inner)))
+				scalars = append(scalars, NormalizeName(fmt.Sprint(inner)))
 			}
 		}
 		if len(scalars) == len(x) {
@@ -85,20 +85,20 @@
 
 // NormalizeName returns a name in the form that it has in a list of scalars: with an underscore for each space and
 // comma.
-func Plain(name string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(name) }
+func NormalizeName(name string) string { return strings.NewReplacer(" ", "_", ",", "_").Replace(name) }
 
 // Settings holds the parsed settings: the parameters of the decision module and those of the rest of the gateway.
-type Told struct {
+type Settings struct {
 	choice.Deployment
-	Zero           uint64   // simulator clock time in nanoseconds at which positions in the log begin
-	ReportNames    []string // names of the values in a load report
-	OpTypeNames    []string
-	Zones          []string
-	Kinds          []string      // kinds of machine
-	ConnectTimeout time.Duration // for establishing a connection; if not set, the longest op timeout
-	IdleTime       time.Duration // after which a server closes an idle connection
-	DrainGrace     time.Duration // after the start of a drain, during which a server may still get new ops
-	LongestMessage int           // limit for one message of a client or server; 0: the limit of the protocol
+	PositionEpoch   uint64   // simulator clock time in nanoseconds at which positions in the log begin
+	ReportNames     []string // names of the values in a load report
+	OpTypeNames     []string
+	Zones           []string
+	Kinds           []string      // kinds of machine
+	ConnectTimeout  time.Duration // for establishing a connection; if not set, the longest op timeout
+	IdleTimeout     time.Duration // after which a server closes an idle connection
+	DrainGrace      time.Duration // after the start of a drain, during which a server may still get new ops
+	MaxMessageBytes int           // limit for one message of a client or server; 0: the limit of the protocol
 }
 
 // reader parses values by their path and keeps the first error.
@@ -174,13 +174,13 @@
 }
 
 // Read parses the settings. Unknown paths are ignored. Missing ones are zero, or a default that imposes no limit.
-func (v Values) Read() (*Told, error) {
+func (v Values) Read() (*Settings, error) {
 	r := &reader{Values: v}
-	t := &Told{
+	t := &Settings{
 		Zones:          r.list("zones"),
 		Kinds:          r.list("models"),
 		ConnectTimeout: r.duration("limits.connect_timeout"),
-		IdleTime:       r.duration("limits.keepalive"),
+		IdleTimeout:    r.duration("limits.keepalive"),
 		DrainGrace:     r.duration("rules.drain_grace"),
 		Deployment: choice.Deployment{
 			Gateways:             int(r.number("balancers")),
@@ -200,7 +200,7 @@
 		},
 	}
 	if zero, err := strconv.ParseUint(v["family_info.zero"], 10, 64); err == nil {
-		t.Zero = zero
+		t.PositionEpoch = zero
 	} else if v["family_info.zero"] != "" {
 		r.fail("family_info.zero")
 	}
@@ -233,7 +233,7 @@
 
 // applyDefaults fills in what the settings do not state. A limit that is missing or zero does not apply, and an answer
 // to an op type without a latency target is useful until the op timeout.
-func (r *reader) applyDefaults(t *Told) {
+func (r *reader) applyDefaults(t *Settings) {
 	if t.MaxSends <= 0 || t.MaxSends > maxSendsPerOp {
 		t.MaxSends = maxSendsPerOp
 	}
@@ -269,7 +269,7 @@
 }
 
 // readOpTypes parses the op types.
-func (r *reader) readOpTypes(settings *Told) {
+func (r *reader) readOpTypes(settings *Settings) {
 	needs, bounds := r.list("family_info.needs_by_class"), r.list("family_info.lag_allowed")
 	if n := r.number("classes.count"); n > maxOpTypes && r.err == nil {
 		r.err = fmt.Errorf("setting classes.count=%.0f: expected at most %d op types", n, maxOpTypes)
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -78,7 +78,7 @@
 		Bound: 200 * time.Millisecond, Target: 500 * time.Millisecond, Timeout: 1200 * time.Millisecond, Value: 2}
 	if nested.OpTypes[0] != lookup || nested.OpTypes[1].Effect != choice.Tokened || nested.OpTypes[1].Need != choice.Write ||
 		!nested.ReportsPosition || nested.MaxRetryAfter != 2*time.Second || nested.Checks != choice.Refuses ||
-		nested.IdleTime != 30*time.Second || nested.AskWithin != 10*time.Second || !nested.ListOnRequest {
+		nested.IdleTimeout != 30*time.Second || nested.AskWithin != 10*time.Second || !nested.ListOnRequest {
 		t.Errorf("got %+v, want the values of the JSON text", nested)
 	}
 }
@@ -96,7 +96,7 @@
 
 func TestMissingValuesAreZeroOrUnlimited(t *testing.T) {
 	settings, err := Values{}.Read()
-	if err != nil || !reflect.DeepEqual(settings, &Told{Deployment: choice.Deployment{MaxSends: maxSendsPerOp}}) {
+	if err != nil || !reflect.DeepEqual(settings, &Settings{Deployment: choice.Deployment{MaxSends: maxSendsPerOp}}) {
 		t.Errorf("got %+v and error %v, want only MaxSends set", settings, err)
 	}
 	settings, err = Values{"classes.count": "3", "classes.0.name": "Any Name, really", "classes.0.give_up": "3000000000", "classes.1.name": "any name, really",
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -34,17 +34,17 @@
 // it is kept for any value of the setting rules.must_ask_in. Within it, a watch that gets no answer from its start on
 // is given up and another call is answered; and within it, a call that was lost, the backoff after it, and the next
 // call end.
-const ToldWithin = 6 * time.Second
+const MaxPropagationDelay = 6 * time.Second
 
 // AskWithin returns the value of choice.Deployment.AskWithin. The module's longest backoff is a quarter of it. If lists
 // are pushed, gateways are expected to know at once what discovery knows, also when discovery has just become reachable
 // again. In that case the backoff after a failed call is limited to half of the drain grace, so that the other half is
 // left.
-func AskWithin(settings *deployment.Told) time.Duration {
+func AskWithin(settings *deployment.Settings) time.Duration {
 	if settings.ListOnRequest {
-		return ToldWithin * 4 / 5
+		return MaxPropagationDelay * 4 / 5
 	}
-	return min(ToldWithin, max(2*settings.DrainGrace, 4*minBackoff))
+	return min(MaxPropagationDelay, max(2*settings.DrainGrace, 4*minBackoff))
 }
 
 // minBackoff keeps gateways from calling a discovery that is down in a busy loop.
@@ -55,15 +55,15 @@
 // would work only on abandoned calls and no gateway would ever get a list. So the timeout of a call that may be queued
 // is longer than 2 s.
 const (
-	openingWatchWait = 10 * time.Millisecond // wait of the first call of a watch; the next one continues it without queueing
-	maxWatchWait     = ToldWithin * 2 / 5    // longest wait of a later call of a watch
-	watchWaitJitter  = ToldWithin / 10       // a random part of this is subtracted from maxWatchWait
-	watchAnswerGrace = ToldWithin / 6        // time after the end of its wait in which such a call has to be answered
-	callTimeout      = ToldWithin * 2 / 5    // timeout of any other call, including the time to connect
+	openingWatchWait = 10 * time.Millisecond       // wait of the first call of a watch; the next one continues it without queueing
+	maxWatchWait     = MaxPropagationDelay * 2 / 5 // longest wait of a later call of a watch
+	watchWaitJitter  = MaxPropagationDelay / 10    // a random part of this is subtracted from maxWatchWait
+	watchAnswerGrace = MaxPropagationDelay / 6     // time after the end of its wait in which such a call has to be answered
+	callTimeout      = MaxPropagationDelay * 2 / 5 // timeout of any other call, including the time to connect
 )
 
 // List is a list of servers, or of changes to one, as discovery sends it.
-type Page struct {
+type List struct {
 	Version uint64  `json:"version"`
 	Full    bool    `json:"full"`
 	Servers []Entry `json:"servers"`
@@ -93,7 +93,7 @@
 }
 
 // NewNames returns Names with the zones and kinds of machine that the settings name.
-func NewNames(clock exchange.Clock, settings *deployment.Told) *Names {
+func NewNames(clock exchange.Clock, settings *deployment.Settings) *Names {
 	return &Names{clock: clock, zones: settings.Zones, kinds: settings.Kinds, servers: map[uint32]string{}}
 }
 
@@ -132,7 +132,7 @@
 // internName returns the number of a name and adds the name if it is new. All names from the 256th on share the number
 // 255.
 func internName(names *[]string, name string) uint8 {
-	name = deployment.Plain(name)
+	name = deployment.NormalizeName(name)
 	i := slices.Index(*names, name)
 	if i < 0 {
 		if i = len(*names); i > math.MaxUint8 { // a number is one byte
@@ -144,7 +144,7 @@
 }
 
 // Convert returns the servers of a list in the form that the decision module takes, and their addresses.
-func (n *Names) Listed(list *Page) (listed []choice.Listed, addrs map[uint32]string, err error) {
+func (n *Names) Convert(list *List) (listed []choice.Listed, addrs map[uint32]string, err error) {
 	addrs = map[uint32]string{}
 	for _, e := range list.Servers {
 		if e.ID == "" {
@@ -181,8 +181,8 @@
 }
 
 // ListHandler handles the lists from discovery in the order in which they arrive.
-type Taker interface {
-	Listed(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string)
+type ListHandler interface {
+	HandleList(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string)
 }
 
 // Client calls discovery. One goroutine, Run, makes all calls one after another.
@@ -190,7 +190,7 @@
 	moves        chan string // the newest address to move to, if Run has not moved to it yet
 	listURL      string
 	names        *Names
-	handler      Taker
+	handler      ListHandler
 	counts       *counters.Set
 	http         http.Client
 	timeout      time.Duration // of a call that does not wait for changes
@@ -205,7 +205,7 @@
 }
 
 // New returns a client of the discovery at addr. The version is that of the list that the gateway knows already.
-func New(addr string, version uint64, names *Names, settings *deployment.Told, handler Taker, counts *counters.Set) *Client {
+func New(addr string, version uint64, names *Names, settings *deployment.Settings, handler ListHandler, counts *counters.Set) *Client {
 	c := &Client{names: names, handler: handler, counts: counts, timeout: callTimeout, dial: (&net.Dialer{}).DialContext,
 		rng: rand.New(rand.NewPCG(settings.Seed, uint64(version))), versionValid: true, version: version, moves: make(chan string, 1), ask: make(chan struct{}, 1), watch: make(chan struct{}, 1)}
 	c.setAddress(addr)
@@ -334,7 +334,7 @@
 	var listed []choice.Listed
 	var addrs map[uint32]string
 	if err == nil {
-		listed, addrs, err = c.names.Listed(list)
+		listed, addrs, err = c.names.Convert(list)
 	}
 	if ctx.Err() != nil {
 		return false
@@ -345,7 +345,7 @@
 			slog.Warn("discovery_failed", "error", err)
 		}
 		c.failing = true
-		c.handler.Listed(choice.ListFailed, nil, nil)
+		c.handler.HandleList(choice.ListFailed, nil, nil)
 		return false
 	}
 	if c.failing {
@@ -359,12 +359,12 @@
 	if list.Full {
 		scope = choice.ListFull
 	}
-	c.handler.Listed(scope, listed, addrs)
+	c.handler.HandleList(scope, listed, addrs)
 	return true
 }
 
 // get makes one HTTP request and decodes the list in its response.
-func (c *Client) get(ctx context.Context, query string) (*Page, error) {
+func (c *Client) get(ctx context.Context, query string) (*List, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, c.listURL+query, nil)
 	if err != nil {
 		return nil, err
@@ -381,6 +381,6 @@
 	if err != nil {
 		return nil, err
 	}
-	list := &Page{}
+	list := &List{}
 	return list, json.Unmarshal(body, list)
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -33,7 +33,7 @@
 // listQueue is a ListHandler that queues the lists.
 type listQueue chan handledList
 
-func (c listQueue) Listed(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
+func (c listQueue) HandleList(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
 	c <- handledList{scope, listed, addrs}
 }
 
@@ -54,7 +54,7 @@
 	t.Helper()
 	s := httptest.NewServer(h)
 	lists := make(listQueue, 64)
-	settings := &deployment.Told{Zones: []string{"a", "b"}, Kinds: []string{"m_2"}}
+	settings := &deployment.Settings{Zones: []string{"a", "b"}, Kinds: []string{"m_2"}}
 	settings.AskWithin = askWithin
 	names := NewNames(exchange.StartClock(), settings)
 	c := New(strings.TrimPrefix(s.URL, "http://"), 40, names, settings, lists, &counters.Set{})
@@ -162,8 +162,8 @@
 func TestWatchWaitsAreRandomAndBounded(t *testing.T) {
 	waits := map[int64]bool{} // in ms
 	for seed := range uint64(8) {
-		settings := &deployment.Told{}
-		settings.AskWithin, settings.Seed = ToldWithin, seed
+		settings := &deployment.Settings{}
+		settings.AskWithin, settings.Seed = MaxPropagationDelay, seed
 		c := New("127.0.0.1:1", 40, NewNames(exchange.StartClock(), settings), settings, make(listQueue, 8), &counters.Set{})
 		requests := make(recordingTransport, 1)
 		c.http.Transport = requests
@@ -173,7 +173,7 @@
 		ms, _ := strconv.ParseInt(r.URL.Query().Get("timeout_ms"), 10, 64)
 		waits[ms] = true
 		deadline, _ := r.Context().Deadline()
-		if timeout := time.Until(deadline); timeout+callTimeout >= ToldWithin || ms < 1500 || timeout < time.Duration(ms)*time.Millisecond+watchAnswerGrace*3/4 {
+		if timeout := time.Until(deadline); timeout+callTimeout >= MaxPropagationDelay || ms < 1500 || timeout < time.Duration(ms)*time.Millisecond+watchAnswerGrace*3/4 {
 			t.Errorf("got a wait of %d ms and a timeout of %v, want at least 1500 ms and a timeout that leaves time for late answers and another call", ms, timeout)
 		}
 	}
@@ -286,11 +286,11 @@
 }
 
 func TestNamesStayBoundedWhenServersAreForgotten(t *testing.T) {
-	n := NewNames(exchange.StartClock(), &deployment.Told{})
+	n := NewNames(exchange.StartClock(), &deployment.Settings{})
 	for i := range 5000 {
-		list := &Page{Servers: []Entry{{ID: fmt.Sprintf("s-%x", i), Addr: "10.0.0.1:1", State: "in_service",
+		list := &List{Servers: []Entry{{ID: fmt.Sprintf("s-%x", i), Addr: "10.0.0.1:1", State: "in_service",
 			Zone: fmt.Sprint(i), Kind: fmt.Sprint(i)}}}
-		listed, _, err := n.Listed(list)
+		listed, _, err := n.Convert(list)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -302,7 +302,7 @@
 }
 
 func TestServerNumbersAreStableAndUnique(t *testing.T) {
-	n := NewNames(exchange.StartClock(), &deployment.Told{})
+	n := NewNames(exchange.StartClock(), &deployment.Settings{})
 	a, b := n.serverNumber("s-5be2a07c"), n.serverNumber("S-5BE2A07C")
 	if a != 0x5be2a07c || b == a || n.serverNumber("s-5be2a07c") != a || n.serverNumber("S-5BE2A07C") != b {
 		t.Errorf("got numbers %x and %x, want 5be2a07c and another one, the same at each call", a, b)
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -159,8 +159,8 @@
 	drainSeen chan time.Time
 }
 
-func (g *testGateway) Listed(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
-	g.Dispatch.Listed(scope, listed, addrs)
+func (g *testGateway) HandleList(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
+	g.Dispatch.HandleList(scope, listed, addrs)
 	if len(listed) > 0 && listed[0].State == choice.Draining {
 		select {
 		case g.drainSeen <- time.Now():
@@ -188,7 +188,7 @@
 
 // newGateway returns a gateway that uses this discovery, and its client.
 func (s *fakeDiscovery) newGateway(seed uint64, pushed bool) (*testGateway, *Client) {
-	settings := &deployment.Told{}
+	settings := &deployment.Settings{}
 	settings.ListOnRequest, settings.DrainGrace, settings.Seed, settings.EventInterval = !pushed, drainGrace, seed, 10*time.Millisecond
 	settings.AskWithin = AskWithin(settings)
 	settings.ListOnRequest = true
@@ -290,7 +290,7 @@
 				for faultAt := 100 * time.Millisecond; faultAt < 5*time.Second; faultAt += 530 * time.Millisecond {
 					moves := i == 1 && faultAt < 2*time.Second
 					took := propagationDelay(t, &fakeDiscovery{fault: c.fault, dialFault: c.dialFault}, faultAt, faultTime, moves, false)
-					if worst = max(worst, took); took >= ToldWithin {
+					if worst = max(worst, took); took >= MaxPropagationDelay {
 						t.Errorf("fault after %v for %v, moves %v: got the change after %v, want it within 6s", faultAt, faultTime, moves, took)
 					}
 				}
@@ -319,7 +319,7 @@
 		time.Sleep(20 * time.Second)
 		s.recoverAndDrain()
 		changedAt := time.Now()
-		time.Sleep(ToldWithin)
+		time.Sleep(MaxPropagationDelay)
 		for i, g := range gateways {
 			select {
 			case at := <-g.drainSeen:
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -36,7 +36,7 @@
 
 // Gossip shares this gateway's observations of servers with other gateways, and reports theirs by Dispatch.Rumour. Its
 // methods are called with the Dispatch's mutex held: they must neither block nor call the Dispatch.
-type Sharing interface {
+type Gossip interface {
 	Trouble(server uint32, t choice.Trouble)   // reports this gateway's observation of a server
 	Acked(server uint32, sentAt time.Duration) // reports that a server acked a send within the latency target
 	Forget(server uint32)                      // frees all resources of a server
@@ -48,7 +48,7 @@
 	clock     exchange.Clock
 	servers   Servers
 	discovery Discovery
-	gossip    Sharing // nil if gossip is disabled
+	gossip    Gossip // nil if gossip is disabled
 	counts    *counters.Set
 
 	mu          sync.Mutex // guards every call of the module, and the fields below
@@ -79,7 +79,7 @@
 	d.servers, d.discovery = s, l
 	d.gateway = choice.New(d, settings)
 	d.mu.Unlock()
-	d.Listed(choice.ListCached, known, addrs)
+	d.HandleList(choice.ListCached, known, addrs)
 }
 
 // Run fires the module's timers until the context is cancelled.
@@ -129,7 +129,7 @@
 }
 
 // Submit passes a new op to the module. The op's latency is measured from this call.
-func (d *Dispatch) Take(x *exchange.Exchange) {
+func (d *Dispatch) Submit(x *exchange.Exchange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -142,18 +142,18 @@
 	d.counts.Taken.Add(1)
 	d.counts.Held.Add(1)
 	writeAge := time.Duration(0) // 0: the session's last write is not known
-	if x.After != choice.LongPast {
-		writeAge = max(1, now-x.After)
+	if x.MinPosition != choice.LongPast {
+		writeAge = max(1, now-x.MinPosition)
 	}
-	d.gateway.Op(now, x.ID, x.OpType, x.Session, x.Due, x.Group, writeAge, x.Again)
+	d.gateway.Op(now, x.ID, x.OpType, x.Session, x.Deadline, x.Group, writeAge, x.IsRetry)
 }
 
 // ClientLeft reports that the client of an op has disconnected.
-func (d *Dispatch) Left(x *exchange.Exchange) {
+func (d *Dispatch) ClientLeft(x *exchange.Exchange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if x.Outcome == exchange.Held {
-		d.finish(x, exchange.Left)
+	if x.Outcome == exchange.Pending {
+		d.finish(x, exchange.ClientLeft)
 		d.gateway.ClientGone(d.now(), x.ID)
 	}
 }
@@ -168,8 +168,8 @@
 
 // finish sets the outcome of a pending op and releases whoever waits for it.
 func (d *Dispatch) finish(x *exchange.Exchange, outcome exchange.Outcome) {
-	invariant.Check(x.Outcome == exchange.Held, "an op ends exactly once")
-	if x.Outcome != exchange.Held {
+	invariant.Check(x.Outcome == exchange.Pending, "an op ends exactly once")
+	if x.Outcome != exchange.Pending {
 		return
 	}
 	x.Outcome = outcome
@@ -181,7 +181,7 @@
 		d.counts.BusyReplied.Add(1)
 	case exchange.Errored:
 		d.counts.Errored.Add(1)
-	case exchange.Left:
+	case exchange.ClientLeft:
 		d.counts.Left.Add(1)
 	}
 	close(x.Done)
@@ -190,32 +190,32 @@
 
 // removeIfDone removes an exchange from the table once its op has ended and no send is in flight.
 func (d *Dispatch) removeIfDone(x *exchange.Exchange) {
-	if x.Outcome != exchange.Held && !x.Out {
+	if x.Outcome != exchange.Pending && !x.InFlight {
 		delete(d.table, x.ID)
 	}
 }
 
 // SendEnded handles the result of a send; it is called exactly once for each send. An ack ends the op if it is pending.
-func (d *Dispatch) SendEnded(x *exchange.Exchange, number uint8, server uint32, e exchange.Ended) {
+func (d *Dispatch) SendEnded(x *exchange.Exchange, number uint8, server uint32, e exchange.AttemptResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	invariant.Check(x.Out, "a send ends exactly once")
-	x.Out = false
+	invariant.Check(x.InFlight, "a send ends exactly once")
+	x.InFlight = false
 	if e.Result == choice.Acked && d.gossip != nil && e.Took <= x.Target {
 		d.gossip.Acked(server, now-e.Took)
 	}
-	if e.Result == choice.Acked && x.Outcome == exchange.Held {
+	if e.Result == choice.Acked && x.Outcome == exchange.Pending {
 		x.Answer = e.Answer
 		d.finish(x, exchange.Acked)
 	}
 	d.removeIfDone(x)
 	d.report(now, server, e.Report)
-	d.gateway.Answer(now, x.ID, number, server, e.Result, e.Took, x.Outcome != exchange.Held, e.Role, e.Position)
+	d.gateway.Answer(now, x.ID, number, server, e.Result, e.Took, x.Outcome != exchange.Pending, e.Role, e.Position)
 }
 
 // ProbeEnded handles the result of a probe; it is called exactly once for each probe.
-func (d *Dispatch) ProbeEnded(server uint32, e exchange.Ended) {
+func (d *Dispatch) ProbeEnded(server uint32, e exchange.AttemptResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -231,7 +231,7 @@
 }
 
 // SetGossip enables gossip with other gateways. It must be called before Start, if at all.
-func (d *Dispatch) Share(g Sharing) { d.gossip = g }
+func (d *Dispatch) SetGossip(g Gossip) { d.gossip = g }
 
 // Rumour passes the module the weighted number of other gateways that report a server as being in trouble.
 func (d *Dispatch) Rumour(server uint32, weight float64) {
@@ -242,7 +242,7 @@
 
 // HandleList passes a list from discovery on. The addresses are set first, as the module may send at once. All of it is
 // done with the mutex held, as the module may forget a server that this list names again.
-func (d *Dispatch) Listed(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
+func (d *Dispatch) HandleList(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.servers.Locate(addrs)
@@ -255,30 +255,30 @@
 // Send implements choice.Host, as do all methods below. The module calls them with the mutex held.
 func (d *Dispatch) Send(op, server uint32, by time.Duration) {
 	x := d.table[op]
-	invariant.Check(x != nil && x.Outcome == exchange.Held && !x.Out, "a send is for a pending op that has no send in flight")
+	invariant.Check(x != nil && x.Outcome == exchange.Pending && !x.InFlight, "a send is for a pending op that has no send in flight")
 	if x == nil {
 		return
 	}
-	x.Out = true
+	x.InFlight = true
 	x.sends++
 	d.servers.Send(x.Exchange, x.sends-1, server, by)
 }
 
 func (d *Dispatch) BusyReply(op uint32, comeBackIn time.Duration) {
-	if x := d.table[op]; x != nil && x.Outcome == exchange.Held {
-		x.ComeBackIn = comeBackIn
+	if x := d.table[op]; x != nil && x.Outcome == exchange.Pending {
+		x.RetryAfter = comeBackIn
 		d.finish(x.Exchange, exchange.BusyReplied)
 	}
 }
 
 func (d *Dispatch) Error(op uint32) {
-	if x := d.table[op]; x != nil && x.Outcome == exchange.Held {
+	if x := d.table[op]; x != nil && x.Outcome == exchange.Pending {
 		d.finish(x.Exchange, exchange.Errored)
 	}
 }
 
 func (d *Dispatch) Cancel(op uint32, send uint8) {
-	if x := d.table[op]; x != nil && x.Out {
+	if x := d.table[op]; x != nil && x.InFlight {
 		d.servers.Cancel(x.Exchange, send)
 	}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -67,20 +67,20 @@
 }
 
 func submitOp(d *Dispatch, opType uint8, timeout time.Duration) *exchange.Exchange {
-	x := &exchange.Exchange{OpType: opType, Due: d.clock.Now() + timeout, After: choice.LongPast, Done: make(chan struct{})}
-	d.Take(x)
+	x := &exchange.Exchange{OpType: opType, Deadline: d.clock.Now() + timeout, MinPosition: choice.LongPast, Done: make(chan struct{})}
+	d.Submit(x)
 	return x
 }
 
 func TestAckOfSendEndsOp(t *testing.T) {
 	d, s, l := startDispatch(t)
 	read, write := submitOp(d, 0, time.Second), submitOp(d, 1, time.Second)
-	if len(s.sent) != 2 || s.sent[0].server != replica || s.sent[1].server != primary || s.sent[0].by < read.Due || l.watched != 1 {
+	if len(s.sent) != 2 || s.sent[0].server != replica || s.sent[1].server != primary || s.sent[0].by < read.Deadline || l.watched != 1 {
 		t.Fatalf("got calls %+v and %+v, want the read sent to the replica, the write to the primary, and one watch", s, l)
 	}
-	d.SendEnded(read, 0, replica, exchange.Ended{Result: choice.Acked, Position: choice.LongPast, Answer: []byte("row")})
+	d.SendEnded(read, 0, replica, exchange.AttemptResult{Result: choice.Acked, Position: choice.LongPast, Answer: []byte("row")})
 	<-read.Done
-	if read.Outcome != exchange.Acked || string(read.Answer) != "row" || write.Over() {
+	if read.Outcome != exchange.Acked || string(read.Answer) != "row" || write.IsDone() {
 		t.Errorf("got read %+v and write %+v, want an acked read with its answer and a pending write", read, write)
 	}
 }
@@ -88,14 +88,14 @@
 func TestSendThatNeverRanIsRetried(t *testing.T) {
 	d, s, _ := startDispatch(t)
 	x := submitOp(d, 0, time.Second)
-	d.SendEnded(x, 0, replica, exchange.Ended{Result: choice.NoConnection, Position: choice.LongPast})
+	d.SendEnded(x, 0, replica, exchange.AttemptResult{Result: choice.NoConnection, Position: choice.LongPast})
 	for range 100 { // the module waits for a short time before it retries
 		time.Sleep(5 * time.Millisecond)
 		if d.tick(); len(s.sent) > 1 {
 			break
 		}
 	}
-	if len(s.sent) != 2 || s.sent[1].number != 1 || x.Over() {
+	if len(s.sent) != 2 || s.sent[1].number != 1 || x.IsDone() {
 		t.Errorf("got sends %+v, want a second one while the op is pending", s.sent)
 	}
 }
@@ -103,7 +103,7 @@
 func TestNonRetryableOpEndsInErrorIfItMayHaveRun(t *testing.T) {
 	d, s, _ := startDispatch(t)
 	x := submitOp(d, 1, time.Second)
-	d.SendEnded(x, 0, primary, exchange.Ended{Result: choice.Reset, Position: choice.LongPast})
+	d.SendEnded(x, 0, primary, exchange.AttemptResult{Result: choice.Reset, Position: choice.LongPast})
 	if x.Outcome != exchange.Errored || len(s.sent) != 1 {
 		t.Errorf("got %+v, want an error after one send", x)
 	}
@@ -120,10 +120,10 @@
 	d, s, _ := startDispatch(t)
 	write, read := submitOp(d, 1, time.Second), submitOp(d, 0, time.Second)
 	s.withdrawn = 0
-	d.Listed(choice.ListChanges, []choice.Listed{{ID: primary, State: choice.Draining, Started: choice.LongPast},
+	d.HandleList(choice.ListChanges, []choice.Listed{{ID: primary, State: choice.Draining, Started: choice.LongPast},
 		{ID: replica, State: choice.Draining, Started: choice.LongPast}}, nil)
 	unsent := submitOp(d, 1, time.Second)
-	if s.withdrawn != 2 || unsent.Over() || read.Over() || write.Over() {
+	if s.withdrawn != 2 || unsent.IsDone() || read.IsDone() || write.IsDone() {
 		t.Errorf("got %d withdrawals, want 2; ops %+v, %+v, %+v, want all pending", s.withdrawn, unsent, read, write)
 	}
 	d.Stop()
@@ -143,15 +143,15 @@
 // exerciseAllOutcomes ends ops in every way and checks the counters.
 func exerciseAllOutcomes(t *testing.T, d *Dispatch, s *fakeServers) {
 	left := submitOp(d, 0, time.Second)
-	d.Left(left)
-	d.Left(left) // a second call has no effect
+	d.ClientLeft(left)
+	d.ClientLeft(left) // a second call has no effect
 	acked, errored := submitOp(d, 0, time.Second), submitOp(d, 1, time.Second)
-	d.SendEnded(acked, 0, replica, exchange.Ended{Result: choice.Acked, Position: choice.LongPast})
-	d.Left(acked) // the client leaves after the op has ended
-	d.SendEnded(errored, 0, primary, exchange.Ended{Result: choice.TimedOut, Position: choice.LongPast})
+	d.SendEnded(acked, 0, replica, exchange.AttemptResult{Result: choice.Acked, Position: choice.LongPast})
+	d.ClientLeft(acked) // the client leaves after the op has ended
+	d.SendEnded(errored, 0, primary, exchange.AttemptResult{Result: choice.TimedOut, Position: choice.LongPast})
 	submitOp(d, 0, 0)
-	submitOp(d, 1, time.Second)                                                                    // stays pending
-	d.SendEnded(left, 0, replica, exchange.Ended{Result: choice.Acked, Position: choice.LongPast}) // the op has ended already
+	submitOp(d, 1, time.Second)                                                                            // stays pending
+	d.SendEnded(left, 0, replica, exchange.AttemptResult{Result: choice.Acked, Position: choice.LongPast}) // the op has ended already
 	c := d.counts
 	if c.Taken.Load() != 5 || c.Acked.Load() != 1 || c.Errored.Load() != 1 || c.BusyReplied.Load() != 1 || c.Left.Load() != 1 ||
 		c.Held.Load() != 1 || s.cancelled != 1 || len(d.table) != 1 {
@@ -161,7 +161,7 @@
 
 func TestRemovedServerIsForgottenByServersAndDiscovery(t *testing.T) {
 	d, s, l := startDispatch(t)
-	d.Listed(choice.ListChanges, []choice.Listed{{ID: replica, State: choice.Gone}, {ID: 3, State: choice.Ready}},
+	d.HandleList(choice.ListChanges, []choice.Listed{{ID: replica, State: choice.Gone}, {ID: 3, State: choice.Ready}},
 		map[uint32]string{3: "127.0.0.1:5"})
 	d.mu.Lock()
 	d.gateway.Timer(d.now()+time.Second, 0)
@@ -173,14 +173,14 @@
 
 func TestTimerEndsPendingOp(t *testing.T) {
 	d, s, _ := startDispatch(t)
-	d.Listed(choice.ListChanges, []choice.Listed{{ID: primary, State: choice.Draining}, {ID: replica, State: choice.Draining}}, nil)
+	d.HandleList(choice.ListChanges, []choice.Listed{{ID: primary, State: choice.Draining}, {ID: replica, State: choice.Draining}}, nil)
 	x := submitOp(d, 1, 100*time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- d.Run(ctx) }()
 	<-x.Done
-	if now := d.clock.Now(); x.Outcome != exchange.BusyReplied || now > x.Due || len(s.sent) != 0 {
-		t.Errorf("got outcome %d at %v, want a busy reply by %v without a send", x.Outcome, now, x.Due)
+	if now := d.clock.Now(); x.Outcome != exchange.BusyReplied || now > x.Deadline || len(s.sent) != 0 {
+		t.Errorf("got outcome %d at %v, want a busy reply by %v without a send", x.Outcome, now, x.Deadline)
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -189,17 +189,17 @@
 }
 
 func TestAssertionsFailOnMisuse(t *testing.T) {
-	timedOut := exchange.Ended{Result: choice.TimedOut, Position: choice.LongPast}
+	timedOut := exchange.AttemptResult{Result: choice.TimedOut, Position: choice.LongPast}
 	for name, f := range map[string]func(d *Dispatch, x *exchange.Exchange){
 		"second result of a send": func(d *Dispatch, x *exchange.Exchange) {
 			d.SendEnded(x, 0, replica, timedOut)
-			x.Out = false
+			x.InFlight = false
 			d.SendEnded(x, 0, replica, timedOut)
 		},
-		"second outcome":                  func(d *Dispatch, x *exchange.Exchange) { d.finish(x, exchange.Left); d.finish(x, exchange.Acked) },
+		"second outcome":                  func(d *Dispatch, x *exchange.Exchange) { d.finish(x, exchange.ClientLeft); d.finish(x, exchange.Acked) },
 		"send while another is in flight": func(d *Dispatch, x *exchange.Exchange) { d.Send(x.ID, primary, 0) },
 		"send for an unknown op":          func(d *Dispatch, _ *exchange.Exchange) { d.Send(1<<31, primary, 0) },
-		"time going back":                 func(d *Dispatch, x *exchange.Exchange) { d.lastTime = time.Hour; d.Left(x) },
+		"time going back":                 func(d *Dispatch, x *exchange.Exchange) { d.lastTime = time.Hour; d.ClientLeft(x) },
 	} {
 		d, _, _ := startDispatch(t)
 		x := submitOp(d, 0, time.Second)
@@ -226,7 +226,7 @@
 	d, s, _ := startDispatch(t)
 	for after, sends := range map[time.Duration]int{choice.LongPast: 1, d.clock.Now() + time.Second: 0} {
 		s.sent = nil // the second position was rounded up past the present: no replica is known to have reached it
-		d.Take(&exchange.Exchange{OpType: 2, Due: time.Second, After: after, Done: make(chan struct{})})
+		d.Submit(&exchange.Exchange{OpType: 2, Deadline: time.Second, MinPosition: after, Done: make(chan struct{})})
 		if len(s.sent) != sends {
 			t.Errorf("read of a write at %v: got sends %+v, want one only if no position is required", after, s.sent)
 		}
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -13,11 +13,11 @@
 
 // The outcomes of an op.
 const (
-	Held        Outcome = iota // the op has not ended yet
+	Pending     Outcome = iota // the op has not ended yet
 	Acked                      // a server has answered it
 	BusyReplied                // the client got a busy reply
 	Errored                    // the client got an error
-	Left                       // the client has disconnected: no answer is owed
+	ClientLeft                 // the client has disconnected: no answer is owed
 )
 
 // Statement is the request of a client, independent of the client's protocol. It belongs to the exchange.
@@ -29,25 +29,25 @@
 // Exchange is one op. The client side fills in the fields above Done and then waits for Done. Until Done is closed, the
 // fields below it belong to the Dispatcher.
 type Exchange struct {
-	Statement Statement
-	OpType    uint8 // index of the op type in the settings
-	Group     uint16
-	Session   uint64
-	Again     bool          // the client has tried the same op before
-	Due       time.Duration // when the client stops waiting
-	Target    time.Duration // the latency target of the op type
-	After     time.Duration // the position that a session read has to see, or choice.LongPast
+	Statement   Statement
+	OpType      uint8 // index of the op type in the settings
+	Group       uint16
+	Session     uint64
+	IsRetry     bool          // the client has tried the same op before
+	Deadline    time.Duration // when the client stops waiting
+	Target      time.Duration // the latency target of the op type
+	MinPosition time.Duration // the position that a session read has to see, or choice.LongPast
 
 	Done       chan struct{} // closed when the op has ended
 	ID         uint32
 	Outcome    Outcome
-	ComeBackIn time.Duration // after which a client that got a busy reply should retry; 0 if not stated
+	RetryAfter time.Duration // after which a client that got a busy reply should retry; 0 if not stated
 	Answer     []byte        // the server's messages up to ReadyForQuery, if the op was acked
-	Out        bool          // whether a send is in flight
+	InFlight   bool          // whether a send is in flight
 }
 
 // IsDone reports whether the op has ended.
-func (x *Exchange) Over() bool {
+func (x *Exchange) IsDone() bool {
 	select {
 	case <-x.Done:
 		return true
@@ -57,7 +57,7 @@
 }
 
 // AttemptResult is the result of a send or a probe.
-type Ended struct {
+type AttemptResult struct {
 	Result   choice.Result
 	Took     time.Duration
 	Role     choice.Role
@@ -73,14 +73,14 @@
 }
 
 // Dispatcher handles the ops that the client side submits.
-type Desk interface {
-	Take(x *Exchange) // starts the op; Done is closed when it has ended
-	Left(x *Exchange) // reports that the client has disconnected
-	Stop()            // ends all pending ops, as the process is about to exit
+type Dispatcher interface {
+	Submit(x *Exchange)     // starts the op; Done is closed when it has ended
+	ClientLeft(x *Exchange) // reports that the client has disconnected
+	Stop()                  // ends all pending ops, as the process is about to exit
 }
 
 // Events handles the results that the server side reports.
 type Events interface {
-	SendEnded(x *Exchange, number uint8, server uint32, e Ended)
-	ProbeEnded(server uint32, e Ended)
+	SendEnded(x *Exchange, number uint8, server uint32, e AttemptResult)
+	ProbeEnded(server uint32, e AttemptResult)
 }
--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -53,7 +53,7 @@
 	}
 	defer netConn.Close()
 	p.counts.ServerConns.Add(1)
-	c := &conn{pool: p, server: j.server, net: netConn, readBuffer: pgwire.ReadBuffer{MaxMessage: p.settings.LongestMessage}}
+	c := &conn{pool: p, server: j.server, net: netConn, readBuffer: pgwire.ReadBuffer{MaxMessage: p.settings.MaxMessageBytes}}
 	deadline, _ := ctx.Deadline()
 	netConn.SetDeadline(deadline)
 	if !p.attach(j, c) || !c.startup() {
@@ -79,7 +79,7 @@
 // was earlier than its deadline and ended the attempt: then the result is NotSent.
 func (p *Pool) connectFailed(j *job) {
 	p.counts.ServerRefused.Add(1)
-	ended := exchange.Ended{Result: choice.NoConnection, Position: choice.LongPast}
+	ended := exchange.AttemptResult{Result: choice.NoConnection, Position: choice.LongPast}
 	if j.startBy < j.deadline && p.clock.Now() >= j.startBy {
 		ended.Result = choice.NotSent
 	}
@@ -128,8 +128,8 @@
 	}
 	// Close the connection long before the server closes it, so that no query crosses the server's close.
 	var deadline time.Time
-	if p.settings.IdleTime > 0 {
-		deadline = time.Now().Add(p.settings.IdleTime / 2)
+	if p.settings.IdleTimeout > 0 {
+		deadline = time.Now().Add(p.settings.IdleTimeout / 2)
 	}
 	c.net.SetDeadline(deadline)
 	p.idle[c.server] = append(p.idle[c.server], c)
--- a/internal/serverside/pool.go
+++ b/internal/serverside/pool.go
@@ -25,7 +25,7 @@
 	clock    exchange.Clock
 	events   exchange.Events
 	counts   *counters.Set
-	settings *deployment.Told
+	settings *deployment.Settings
 	maxConns int
 
 	// quietPeriod is the constant of this name, except in tests.
@@ -88,7 +88,7 @@
 
 // New returns a pool of at most maxConns connections. The caller has to call Wait at the end.
 func New(ctx context.Context, clock exchange.Clock, events exchange.Events, counts *counters.Set,
-	settings *deployment.Told, maxConns int) *Pool {
+	settings *deployment.Settings, maxConns int) *Pool {
 	group, ctx := errgroup.WithContext(ctx)
 	return &Pool{clock: clock, events: events, counts: counts, settings: settings, maxConns: maxConns, quietPeriod: quietPeriod, ctx: ctx, group: group,
 		addrs: map[uint32]string{}, idle: map[uint32][]*conn{}, sends: map[*exchange.Exchange]*job{}, probes: map[uint32]*job{}}
@@ -131,7 +131,7 @@
 
 // Send submits a send. SendEnded reports its result. A send that has not started at the time startBy is never executed.
 func (p *Pool) Send(op *exchange.Exchange, number uint8, server uint32, startBy time.Duration) {
-	p.submit(&job{op: op, number: number, server: server, startBy: min(startBy, op.Due), deadline: op.Due})
+	p.submit(&job{op: op, number: number, server: server, startBy: min(startBy, op.Deadline), deadline: op.Deadline})
 }
 
 // Probe submits a probe. ProbeEnded reports its result.
@@ -175,7 +175,7 @@
 	p.group.Go(func() error {
 		defer cancel()
 		if !canConnect {
-			p.finish(j, exchange.Ended{Result: choice.NotSent, Position: choice.LongPast})
+			p.finish(j, exchange.AttemptResult{Result: choice.NotSent, Position: choice.LongPast})
 			return nil
 		}
 		p.connect(ctx, j, addr)
@@ -272,7 +272,7 @@
 }
 
 // finish reports the result of a job. It is called exactly once for each job.
-func (p *Pool) finish(j *job, ended exchange.Ended) {
+func (p *Pool) finish(j *job, ended exchange.AttemptResult) {
 	ended.Took = p.clock.Now() - j.submittedAt
 	p.mu.Lock()
 	switch {
--- a/internal/serverside/receive.go
+++ b/internal/serverside/receive.go
@@ -34,7 +34,7 @@
 
 // answer is the part of a response that has been read.
 type answer struct {
-	exchange.Ended
+	exchange.AttemptResult
 
 	// lastType is the type of the last message of the value, 0 before the first.
 	lastType byte
@@ -50,8 +50,8 @@
 
 // receive reads the response to a query that was written completely, up to ReadyForQuery. The server's role and position
 // arrive just before that. The connection is reusable if ReadyForQuery was read.
-func (c *conn) receive(j *job) (ended exchange.Ended, reusable bool) {
-	a := answer{Ended: exchange.Ended{Position: choice.LongPast}}
+func (c *conn) receive(j *job) (ended exchange.AttemptResult, reusable bool) {
+	a := answer{AttemptResult: exchange.AttemptResult{Position: choice.LongPast}}
 	var err error
 	for err == nil {
 		var m pgwire.Message
@@ -61,13 +61,13 @@
 	}
 	switch {
 	case a.complete: // the result is known, whether or not the rest of the response arrives
-		return a.Ended, err == errReady
+		return a.AttemptResult, err == errReady
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		a.Result = choice.TimedOut
 	default:
 		a.Result = choice.Reset
 	}
-	return exchange.Ended{Result: a.Result, Position: choice.LongPast}, false // the rest of a broken response is not trusted
+	return exchange.AttemptResult{Result: a.Result, Position: choice.LongPast}, false // the rest of a broken response is not trusted
 }
 
 // processMessage processes one message of a response. It returns errReady at the end of the response.
--- a/internal/serverside/send.go
+++ b/internal/serverside/send.go
@@ -10,16 +10,16 @@
 )
 
 // execute executes one job. The connection must not be used again unless it is reusable.
-func (c *conn) execute(j *job) (ended exchange.Ended, reusable bool) {
+func (c *conn) execute(j *job) (ended exchange.AttemptResult, reusable bool) {
 	p := c.pool
 	if !c.startJob(j) {
-		return exchange.Ended{Result: choice.NotSent, Position: choice.LongPast}, true
+		return exchange.AttemptResult{Result: choice.NotSent, Position: choice.LongPast}, true
 	}
 	invariant.Check(len(c.readBuffer.Bytes()) == 0, "a connection that starts a job has no unread bytes")
 	c.buildQuery(j)
 	if n, err := c.net.Write(c.query); err != nil || n < len(c.query) {
 		p.counts.ServerBroken.Add(1)
-		return exchange.Ended{Result: choice.NoConnection, Position: choice.LongPast}, false
+		return exchange.AttemptResult{Result: choice.NoConnection, Position: choice.LongPast}, false
 	}
 	if j.op != nil {
 		p.counts.Sent.Add(1)
@@ -35,7 +35,7 @@
 func (c *conn) startJob(j *job) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if j.cancelled || j.op != nil && j.op.Over() || c.pool.clock.Now() >= j.startBy {
+	if j.cancelled || j.op != nil && j.op.IsDone() || c.pool.clock.Now() >= j.startBy {
 		return false
 	}
 	j.started = true
--- a/internal/serverside/serverside_test.go
+++ b/internal/serverside/serverside_test.go
@@ -23,12 +23,14 @@
 )
 
 // results receives the results of sends and probes.
-type results chan exchange.Ended
+type results chan exchange.AttemptResult
 
-func (ch results) SendEnded(_ *exchange.Exchange, _ uint8, _ uint32, r exchange.Ended) { ch <- r }
-func (ch results) ProbeEnded(_ uint32, r exchange.Ended)                               { ch <- r }
+func (ch results) SendEnded(_ *exchange.Exchange, _ uint8, _ uint32, r exchange.AttemptResult) {
+	ch <- r
+}
+func (ch results) ProbeEnded(_ uint32, r exchange.AttemptResult) { ch <- r }
 
-func (ch results) wait(t *testing.T) exchange.Ended {
+func (ch results) wait(t *testing.T) exchange.AttemptResult {
 	t.Helper()
 	select {
 	case r := <-ch:
@@ -49,7 +51,7 @@
 		t.Fatal(err)
 	}
 	go d.Serve(l)
-	settings := &deployment.Told{ConnectTimeout: 200 * time.Millisecond, IdleTime: time.Second, ReportNames: []string{"x0", "x1"}}
+	settings := &deployment.Settings{ConnectTimeout: 200 * time.Millisecond, IdleTimeout: time.Second, ReportNames: []string{"x0", "x1"}}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(results, 16)
 	p := New(ctx, exchange.StartClock(), ended, &counters.Set{}, settings, maxConns)
@@ -76,7 +78,7 @@
 
 // sendUntil submits a send for an op whose client waits until the time due.
 func (p *Pool) sendUntil(op *exchange.Exchange, number uint8, server uint32, due time.Duration) {
-	op.Due = due
+	op.Deadline = due
 	p.Send(op, number, server, due)
 }
 
@@ -181,7 +183,7 @@
 	value := strings.Repeat("v", 360<<10)
 	p, ended := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row(value, "replica", 1), true }})
 	for longest, want := range map[int]choice.Result{0: choice.Reset, 512 << 10: choice.Acked} {
-		p.settings.LongestMessage = longest
+		p.settings.MaxMessageBytes = longest
 		p.CloseIdle(testServer)
 		p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 		if r := ended.wait(t); r.Result != want || want == choice.Acked && !strings.Contains(string(r.Answer), value) {
@@ -413,7 +415,7 @@
 	onSendEnd func()
 }
 
-func (c chainedEvents) SendEnded(op *exchange.Exchange, number uint8, server uint32, r exchange.Ended) {
+func (c chainedEvents) SendEnded(op *exchange.Exchange, number uint8, server uint32, r exchange.AttemptResult) {
 	c.onSendEnd()
 	c.results.SendEnded(op, number, server, r)
 }
@@ -449,7 +451,7 @@
 				Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
 			p.settings.ConnectTimeout = 10 * time.Second
 			op, startBy := newOp(t), p.testDeadline()
-			if op.Due = startBy; name == "too late" {
+			if op.Deadline = startBy; name == "too late" {
 				startBy = p.clock.Now() + 30*time.Millisecond
 			}
 			if c.probe {
@@ -502,7 +504,7 @@
 		}
 	}
 	late := newOp(t)
-	late.Due = p.testDeadline()
+	late.Deadline = p.testDeadline()
 	p.Send(late, 0, testServer, p.clock.Now())
 	if r := ended.wait(t); r.Result != choice.NotSent {
 		t.Errorf("a send after its startBy: got %+v, want result NotSent", r)
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -216,8 +216,8 @@
 	}
 	told.Seed = be.Uint64(b[3:])
 	in := &instance{x: x, who: who, base: x.clock, types: len(told.OpTypes), names: told.ReportNames}
-	if told.Zero > 0 {
-		in.zero = in.span(told.Zero)
+	if told.PositionEpoch > 0 {
+		in.zero = in.span(told.PositionEpoch)
 	}
 	x.gateways[who] = in
 	defer in.caught(&err)
