--- a/choice/choice.go
+++ b/choice/choice.go
@@ -11,15 +11,16 @@
 
 // Tuning constants. Nearly all are ratios, so that they fit any deployment.
 const (
-	// holdDivisor: a session read is held for a fresh enough replica for its latency target divided by this. A marked
-	// retry of an op whose first try is unknown counts as having the same share of its latency target left.
+	// holdDivisor: a session read is held for at most its latency target divided by this, until a replica is fresh
+	// enough. A marked retry of an op whose first try is unknown counts as having the same share of its latency target
+	// left.
 	holdDivisor = 4
 
 	// queueingDivisor: an answer that took longer than the latency target divided by this shows queueing at the server.
 	queueingDivisor = 6
 
-	// limitDecrease is the factor by which such an answer reduces the limit of open sends at a server. Each congestion
-	// level reduces the share of admitted ops by the same factor.
+	// limitDecrease is the factor by which an answer that shows queueing reduces the limit of open sends at a server.
+	// Each congestion level reduces the share of admitted ops by the same factor.
 	limitDecrease = 0.8
 
 	// connShortageWaits is the time, in short waits, for which a shortage of connections is assumed to last.
@@ -28,8 +29,8 @@
 	// stallTicks is the time without a timer event, in ticks, that shows that the gateway process itself stood still.
 	stallTicks = 8
 
-	// congestionDecrease is what a timely answer takes off the congestion level, to which a late one adds 1.
-	// The level stays constant with one late answer in four.
+	// congestionDecrease is what a timely answer takes off the congestion level. A late answer from a server whose own
+	// limit is at 1 adds 1, so the level stays constant when one such answer comes for every two timely ones.
 	congestionDecrease = 1. / 2
 
 	// maxCongestion bounds the congestion level, so that the end of the congestion is noticed soon.
@@ -40,8 +41,8 @@
 	initialLimit = 8
 
 	// sampleSize scales the samples of answer times: a histogram is halved when one of its bins holds half of
-	// this, and its mean is used from an eighth of this. A quarter of this, and one for each server, bounds the
-	// probe budget.
+	// this, and its mean is used from an eighth of this. The probe budget is limited to a quarter of this plus one
+	// probe for each server.
 	sampleSize = 64
 
 	// overdueFactor is the number of mean answer times after which an answer is overdue. A server is silent when one of
@@ -64,7 +65,8 @@
 	// shortWaitDivisor: the short wait, the unit of backoff times, is the shortest latency target divided by this.
 	shortWaitDivisor = 16
 
-	// rumourThreshold is the weighted number of other gateways from which their reports of trouble at a server count.
+	// rumourThreshold is the weighted number of other gateways that must report trouble at a server for their reports
+	// to have an effect.
 	rumourThreshold = 1
 
 	// rumouredWeightDivisor divides the weight in the rotation of a replica that others report to be in trouble.
@@ -249,7 +251,8 @@
 	g := &Gateway{
 		host: h, ops: map[uint32]*op{}, servers: map[uint32]*server{}, groups: map[uint16]*group{},
 		tick: max(d.EventInterval, time.Millisecond), shortWait: time.Hour,
-		replicasCheck: d.Checks != Unchecked, writeAgeCarried: d.WriteAgeCarried, mayProbe: d.MayProbe, mayCancel: d.MayCancel,
+		replicasCheck: d.Checks != Unchecked, writeAgeCarried: d.WriteAgeCarried,
+		mayProbe: d.MayProbe, mayCancel: d.MayCancel,
 		steadyProbing: d.MayProbe && d.ReportsPosition && !d.AnswersCarryPosition && d.Checks != Unchecked,
 		retriesMarked: !d.RetriesUnmarked, maxSends: max(1, d.MaxSends), initialProbes: map[bool]int{true: 1}[d.MayProbe],
 		maxRetryAfter: d.MaxRetryAfter, maxListBackoff: cmp.Or(d.AskWithin, time.Minute) / 4, seed: d.Seed,
@@ -270,7 +273,7 @@
 }
 
 // Op handles a client's op that has come in. clientLeavesAt is the time at which its client stops waiting, writeAge the
-// age of the session's last write, 0 if the client told none. isRetry is true if the client marked the op as a retry.
+// age of the session's last write, 0 if it is not known. isRetry is true if the client marked the op as a retry.
 func (g *Gateway) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration,
 	groupID uint16, writeAge time.Duration, isRetry bool) {
 	g.detectStall(now)
@@ -329,7 +332,8 @@
 // matchRetry looks for an earlier try of an op, and if there is one counts the latency target from that. A marked
 // retry matches an expected one of the same op type, group and session. Where clients do not mark retries, an op with a
 // session is matched by these alone. One without a session must also arrive soon after the earlier try ended, or
-// after the time that its busy reply named: within the mean time between two ops of its type and group.
+// after the time that its busy reply named: within the mean time between two ops of its type and group, and in the
+// second case within a short wait.
 func (g *Gateway) matchRetry(now time.Duration, o *op, isRetry bool) {
 	gap, found := o.opType.meanArrivalGap*time.Duration(len(g.groupOrder)), false
 	if isRetry {
@@ -351,7 +355,7 @@
 }
 
 // Answer handles the end of a send and is called once for each. number counts the op's sends from 0. final tells that
-// the op has ended with this answer. role and pos are what the server told of itself with its answer.
+// the op has ended with this answer. role and pos are what the server stated about itself with its answer.
 func (g *Gateway) Answer(now time.Duration, id uint32, number uint8, serverID uint32, result Result,
 	took time.Duration, final bool, role Role, pos time.Duration) {
 	g.detectStall(now)
@@ -568,8 +572,8 @@
 	return best
 }
 
-// primaryCandidate returns the member to try a write at while the primary is unknown or failing, in id order. One of
-// the op's sends is kept back for the primary.
+// primaryCandidate returns the member to try a write at while the primary is unknown or failing, in id order. It never
+// uses the op's last send, which is reserved for the primary.
 func (g *Gateway) primaryCandidate(now time.Duration, o *op) *server {
 	for _, s := range o.group.members {
 		if o.sends < g.maxSends-1 && g.ifRoom(now, s, o) != nil && !s.overdue(now) &&
@@ -649,7 +653,7 @@
 	return float64(crc32.ChecksumIEEE(b)) / (1 << 32)
 }
 
-// updateRoleAndPosition takes in what a server told of itself. asOf is the time of the evidence for its role. A
+// updateRoleAndPosition records what a server stated about itself. asOf is the time of the evidence for its role. A
 // primary's position is the present, so it replaces asOf.
 func (g *Gateway) updateRoleAndPosition(now time.Duration, s *server, role Role, pos, asOf time.Duration) {
 	if pos != LongPast {
@@ -815,7 +819,7 @@
 
 // Rumour handles a change of the weighted number of other gateways that report a server to be in trouble. From
 // rumourThreshold on, a rumour spends a probe on the server, lets the first symptom that this gateway sees count as the
-// second, reduces the server's weight in the rotation, and has a list that failed requested at once.
+// second, reduces the server's weight in the rotation, and repeats a failed request for the list at once.
 func (g *Gateway) Rumour(now time.Duration, id uint32, weight float64) {
 	s := g.servers[id]
 	if s == nil {
@@ -861,9 +865,9 @@
 	})
 }
 
-// silent reports whether a server, and not just one connection, has been quiet for longer than chance explains. It sums
-// the waits since the server was last heard of, in mean answer times, over the sends that no answer has overtaken.
-// The sum must exceed minSum and the longest wait overdueFactor.
+// silent reports whether a server, and not just one connection, has been quiet for longer than random variation
+// explains. It sums the waits since the server was last heard of, in mean answer times, over the sends that no answer
+// has overtaken. The sum must exceed minSum and the longest wait overdueFactor.
 func (s *server) silent(now time.Duration, minSum float64) bool {
 	sum, longestWait := 0.0, 0.0
 	for _, o := range s.openSends {
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -38,8 +38,8 @@
 // worstColdExcess simulates gateways of unequal traffic that share three replicas of one group and the only server of
 // another. That server restarts, and the gateways learn of it from the list after listDelay. The result compares the
 // sends of all gateways to the server, in any window of the overload time from then on, with the stated multiple of
-// what it can do in that window. It is the greatest excess, as a part of what may be put down to chance, or -1 if there
-// were no sends.
+// what it can do in that window. It is the greatest excess, relative to two standard deviations of the number of sends
+// plus two sends, or -1 if there were no sends.
 func worstColdExcess(gateways int, totalRate float64, listDelay time.Duration, seed uint64) (worst float64) {
 	const (
 		answerTime = 40 * ms
@@ -135,8 +135,8 @@
 }
 
 // All gateways together must keep within a cold server's budget, also from the moment that they learn of its restart,
-// with three times the usual load on its group. They may exceed it by only a quarter of what chance may add, as real
-// work is uneven too.
+// with three times the usual load on its group. They may exceed it by only a quarter of what random variation may add,
+// as real work is uneven too.
 func TestColdLimitHoldsForSumOfAllGateways(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(6) {
@@ -146,7 +146,7 @@
 			listDelay time.Duration
 		}{{20, 20, 0}, {30, 20, time.Second}, {30, 100, 0}} {
 			if worst := worstColdExcess(c.gateways, c.totalRate, c.listDelay, seed); worst > 0.25 {
-				t.Errorf("%+v, seed %d: got an excess of %.2f of what chance may add, want at most 0.25", c, seed, worst)
+				t.Errorf("%+v, seed %d: got an excess of %.2f of the random variation, want at most 0.25", c, seed, worst)
 			}
 		}
 	}
--- a/choice/host.go
+++ b/choice/host.go
@@ -114,14 +114,14 @@
 	LateValue float64       // share of Value earned by an ack after the latency target
 }
 
-// Deployment is what a gateway is told of its surroundings at start.
+// Deployment describes the surroundings of a gateway, as configured at start.
 type Deployment struct {
 	OpTypes              []OpType
 	Gateways             int           // number of gateways
 	Seed                 uint64        // of this gateway's random numbers
 	EventInterval        time.Duration // least time between two events of the host
 	ListOnRequest        bool          // the server list is sent only when asked for, else changes are pushed
-	AskWithin            time.Duration // after this time without asking, a gateway counts as knowing the list
+	AskWithin            time.Duration // a gateway that has not asked for the list for this long counts as knowing it
 	Checks               Checks
 	AnswersCarryPosition bool          // every answer carries the server's position
 	WriteAgeCarried      bool          // session reads carry the age of their session's last write
@@ -193,7 +193,7 @@
 // The troubles. NoTrouble says that the trouble reported before has ended.
 const (
 	NoTrouble   Trouble = iota
-	Silence             // no answers for longer than chance explains
+	Silence             // no answers for longer than random variation explains
 	Unreachable         // no connection, connections that are reset, or no answer to a probe
 	Failing             // errors on ops that another server acked
 	Late                // answers keep coming late
--- a/internal/clientside/accept.go
+++ b/internal/clientside/accept.go
@@ -51,14 +51,14 @@
 	// maxBacklogAge is how long there may be connections in the listener's queue before new ones are refused.
 	maxBacklogAge = 50 * time.Millisecond
 
-	// maxDrain is the upper limit of the time that a planned stop leaves for open ops. Below it the longest op timeout
-	// counts.
+	// maxDrain limits the time that a planned stop leaves for open ops, which is otherwise the longest op timeout.
 	maxDrain = 3 * time.Second
 
-	// killGrace is the time after the end of that period at which the process is killed.
+	// killGrace is the time from the end of the period left for open ops until the process is killed.
 	killGrace = 700 * time.Millisecond
 
-	// finalReplyTime is the part of that time that is reserved for the replies to ops that are ended then.
+	// finalReplyTime is how long before the kill the ops that are still open are ended, so that the replies to them can
+	// be written.
 	finalReplyTime = 150 * time.Millisecond
 )
 
@@ -90,9 +90,11 @@
 }
 
 // New returns an acceptor for at most maxConns connections.
-func New(clock exchange.Clock, dispatcher exchange.Dispatcher, counts *counters.Set, settings *deployment.Settings, maxConns int) *Acceptor {
+func New(clock exchange.Clock, dispatcher exchange.Dispatcher, counts *counters.Set, settings *deployment.Settings,
+	maxConns int) *Acceptor {
 	a := &Acceptor{clock: clock, dispatcher: dispatcher, counts: counts, settings: settings, opTypes: map[string]uint8{},
-		maxConns: int64(maxConns), conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1), openIDs: map[string]struct{}{}}
+		maxConns: int64(maxConns), conns: map[*conn]struct{}{}, connClosed: make(chan struct{}, 1),
+		openIDs: map[string]struct{}{}}
 	for i, name := range settings.OpTypeNames {
 		a.opTypes[name] = uint8(i)
 	}
@@ -166,7 +168,8 @@
 			netConn.Close()
 			continue
 		}
-		c := &conn{acceptor: a, net: netConn, readBuffer: pgwire.ReadBuffer{MaxMessage: a.settings.MaxMessageBytes}, replies: make(chan reply, maxPendingCommands+extraReplies)}
+		c := &conn{acceptor: a, net: netConn, readBuffer: pgwire.ReadBuffer{MaxMessage: a.settings.MaxMessageBytes},
+			replies: make(chan reply, maxPendingCommands+extraReplies)}
 		c.lastActivity.Store(int64(a.clock.Now()))
 		a.mu.Lock()
 		a.conns[c] = struct{}{}
@@ -246,7 +249,8 @@
 		}
 		remaining++
 		idle := now - time.Duration(c.lastActivity.Load())
-		if c != requester && c.pendingReplies.Load() == 0 && (idle >= idleTimeout || idle >= firstBytesWait && !c.sentCommand.Load()) {
+		if c != requester && c.pendingReplies.Load() == 0 &&
+			(idle >= idleTimeout || idle >= firstBytesWait && !c.sentCommand.Load()) {
 			evictable = append(evictable, c)
 		}
 	}
@@ -358,7 +362,8 @@
 		c.net.CloseWrite()
 		c.net.SetReadDeadline(time.Now().Add(closeGrace))
 		io.Copy(io.Discard, c.net)
-	case reason == errClosing && a.stopping.Load(): // a command that arrives now stays unread, so that the client gets a reset
+	case reason == errClosing && a.stopping.Load():
+		// A command that arrives now stays unread, so that the client gets a reset.
 		c.net.CloseWrite()
 		time.Sleep(closeGrace)
 	}
--- a/internal/clientside/clientside_test.go
+++ b/internal/clientside/clientside_test.go
@@ -24,19 +24,19 @@
 
 const lookupQuery = "SELECT data FROM facts WHERE code = 'k' /* id=1,c=lookup,d=400,cluster=3 */"
 
-// fakeDispatcher calls onTake for each op that it takes. The ops of disconnected clients are sent to left.
+// fakeDispatcher calls onSubmit for each op that is submitted. The ops of disconnected clients are sent to left.
 type fakeDispatcher struct {
-	mu     sync.Mutex
-	taken  []*exchange.Exchange
-	left   chan *exchange.Exchange
-	onTake func(op *exchange.Exchange)
+	mu        sync.Mutex
+	submitted []*exchange.Exchange
+	left      chan *exchange.Exchange
+	onSubmit  func(op *exchange.Exchange)
 }
 
 func (d *fakeDispatcher) Submit(op *exchange.Exchange) {
 	d.mu.Lock()
-	d.taken = append(d.taken, op)
+	d.submitted = append(d.submitted, op)
 	d.mu.Unlock()
-	go d.onTake(op)
+	go d.onSubmit(op)
 }
 
 func (d *fakeDispatcher) ClientLeft(op *exchange.Exchange) { d.left <- op }
@@ -45,7 +45,7 @@
 func (d *fakeDispatcher) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, op := range d.taken {
+	for _, op := range d.submitted {
 		if !op.IsDone() {
 			finish(op, exchange.Errored)
 		}
@@ -85,9 +85,10 @@
 }
 
 // startAcceptor starts an acceptor on a port of its own. The function stop stops it and waits for its end.
-func startAcceptor(t *testing.T, maxConns int, onTake func(*exchange.Exchange)) (a *Acceptor, d *fakeDispatcher, addr string, stop func()) {
+func startAcceptor(t *testing.T, maxConns int, onSubmit func(*exchange.Exchange)) (a *Acceptor, d *fakeDispatcher,
+	addr string, stop func()) {
 	t.Helper()
-	d = &fakeDispatcher{left: make(chan *exchange.Exchange, 1024), onTake: onTake}
+	d = &fakeDispatcher{left: make(chan *exchange.Exchange, 1024), onSubmit: onSubmit}
 	settings := &deployment.Settings{OpTypeNames: []string{"lookup", "save"}, ConnectTimeout: 30 * time.Millisecond}
 	settings.OpTypes = []choice.OpType{{Timeout: time.Second}, {Timeout: time.Second}}
 	a = New(exchange.StartClock(), d, &counters.Set{}, settings, maxConns)
@@ -143,7 +144,7 @@
 		expect(t, c, "")
 		expect(t, c, "v1")
 	}
-	if op := d.taken[0]; string(op.Statement.(*pgwire.Statement).Text) != lookupQuery || op.OpType != 0 || op.Group != 3 || op.IsRetry ||
+	if op := d.submitted[0]; string(op.Statement.(*pgwire.Statement).Text) != lookupQuery || op.OpType != 0 || op.Group != 3 || op.IsRetry ||
 		op.MinPosition != choice.LongPast {
 		t.Errorf("got op %+v", op)
 	}
@@ -233,11 +234,11 @@
 		disconnect func(c *standin.Client) error
 		want       int
 	}{
-		"many at once": {input: numberedQueries(300), once: func(a *Acceptor) bool { return takenCount(a.dispatcher.(*fakeDispatcher)) == maxPendingCommands }, want: maxPendingCommands},
+		"many at once": {input: numberedQueries(300), once: func(a *Acceptor) bool { return submittedCount(a.dispatcher.(*fakeDispatcher)) == maxPendingCommands }, want: maxPendingCommands},
 		"invalid":      {input: append(numberedQueries(1), "z\x00\x00\x00\x04"...), once: rejected, want: 1},
 		"a flood": {input: append(numberedQueries(1), "z\x00\x00\x00\x04"...), once: rejected, more: strings.Repeat("x", 3*maxFastDiscard),
 			want: 1},
-		"half closed": {input: numberedQueries(3), once: func(a *Acceptor) bool { return takenCount(a.dispatcher.(*fakeDispatcher)) == 3 },
+		"half closed": {input: numberedQueries(3), once: func(a *Acceptor) bool { return submittedCount(a.dispatcher.(*fakeDispatcher)) == 3 },
 			disconnect: func(c *standin.Client) error { return c.Conn.(*net.TCPConn).CloseWrite() }, want: 3},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -260,14 +261,15 @@
 					t.Fatal("disconnect not detected")
 				}
 			}
-			if len(d.taken) != c.want {
-				t.Errorf("got %d ops taken, want as many as in the case", len(d.taken))
+			if len(d.submitted) != c.want {
+				t.Errorf("got %d ops submitted, want as many as in the case", len(d.submitted))
 			}
 		})
 	}
 }
 
-// A command may be read long after it was sent, when the client has already disconnected. Such a command is not taken.
+// A command may be read long after it was sent, when the client has already disconnected. Such a command is not
+// submitted.
 func TestCommandOfDisconnectedClientIsNotTaken(t *testing.T) {
 	t.Parallel()
 	_, d, addr, _ := startAcceptor(t, 8, ack)
@@ -297,8 +299,8 @@
 		waitUntil(t, "the disconnect has arrived", c.clientClosed)
 		c.run()
 	}
-	if n := takenCount(d); n != 0 || len(a.openIDs) != 0 {
-		t.Errorf("got %d ops taken and %d open ids, want none", n, len(a.openIDs))
+	if n := submittedCount(d); n != 0 || len(a.openIDs) != 0 {
+		t.Errorf("got %d ops submitted and %d open ids, want none", n, len(a.openIDs))
 	}
 	if got, err := dial(t, addr).Query(lookupQuery); err != nil || got != "v1" {
 		t.Errorf("connected client: got %q, %v, want v1", got, err)
@@ -312,7 +314,7 @@
 	a, d, addr, stop := startAcceptor(t, 8, func(*exchange.Exchange) {})
 	c = dial(t, addr)
 	c.Say(numberedQueries(1))
-	waitUntil(t, "the op is taken", func() bool { return takenCount(d) == 1 })
+	waitUntil(t, "the op is submitted", func() bool { return submittedCount(d) == 1 })
 	stopped = make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -342,18 +344,18 @@
 		t.Fatal("disconnect not detected")
 	}
 	<-stopped
-	if n := takenCount(d); n != 1 {
-		t.Errorf("got %d ops taken, want 1", n)
+	if n := submittedCount(d); n != 1 {
+		t.Errorf("got %d ops submitted, want 1", n)
 	}
 }
 
 // A command that arrives after the last read of a planned stop stays unread. The reset after the replies tells the
-// client that it was not taken, and the client sends it to another gateway.
+// client that it was not processed, and the client sends it to another gateway.
 func TestCommandAfterLastReadOfStopStaysUnread(t *testing.T) {
 	t.Parallel()
 	d, c, stopped := stoppingClient(t)
 	time.Sleep(20 * time.Millisecond) // long enough for the command to be read
-	ack(d.taken[0])
+	ack(d.submitted[0])
 	expect(t, c, "v0")
 	<-stopped
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
@@ -368,15 +370,15 @@
 		})
 		return reset
 	})
-	if n := takenCount(d); n != 1 {
-		t.Errorf("got %d ops taken, want 1", n)
+	if n := submittedCount(d); n != 1 {
+		t.Errorf("got %d ops submitted, want 1", n)
 	}
 }
 
-func takenCount(d *fakeDispatcher) int {
+func submittedCount(d *fakeDispatcher) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.taken)
+	return len(d.submitted)
 }
 
 // A connection may be in the listener's queue when the acceptor stops accepting. The kernel has already accepted it, so
@@ -406,8 +408,8 @@
 	expect(t, c, "v1")
 	c.Close()
 	group.Wait()
-	if n := takenCount(d); n != 1 {
-		t.Errorf("got %d ops taken, want 1", n)
+	if n := submittedCount(d); n != 1 {
+		t.Errorf("got %d ops submitted, want 1", n)
 	}
 }
 
@@ -423,7 +425,7 @@
 	a.settings.OpTypes[1].Timeout = time.Second
 	c := dial(t, addr)
 	c.Say(numberedQueries(1))
-	waitUntil(t, "the op is taken", func() bool { return takenCount(d) == 1 })
+	waitUntil(t, "the op is submitted", func() bool { return submittedCount(d) == 1 })
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
@@ -644,8 +646,8 @@
 	for n := range 300 {
 		expect(t, c, fmt.Sprintf("v%d", n))
 	}
-	if len(d.taken) != 300 || maxOpen.Load() > maxPendingCommands+1 { // an ended op may still count
-		t.Errorf("got %d ops taken, up to %d at once, want 300 and up to maxPendingCommands+1", len(d.taken), maxOpen.Load())
+	if len(d.submitted) != 300 || maxOpen.Load() > maxPendingCommands+1 { // an ended op may still count
+		t.Errorf("got %d ops submitted, up to %d at once, want 300 and up to maxPendingCommands+1", len(d.submitted), maxOpen.Load())
 	}
 }
 
@@ -673,9 +675,9 @@
 	}()
 	waitUntil(t, "the acceptor is stopping", a.stopping.Load)
 	for n := range maxPendingCommands + 3 {
-		waitUntil(t, "the op is taken", func() bool { return takenCount(d) > n })
+		waitUntil(t, "the op is submitted", func() bool { return submittedCount(d) > n })
 		d.mu.Lock()
-		op := d.taken[n]
+		op := d.submitted[n]
 		d.mu.Unlock()
 		ack(op)
 		expect(t, c, fmt.Sprintf("v%d", n))
@@ -689,7 +691,7 @@
 	if _, err := dial(t, addr).Query(strings.Replace(lookupQuery, "d=400", "d=4000000000", 1)); err != nil {
 		t.Fatal(err)
 	}
-	if left := d.taken[0].Deadline - a.clock.Now(); left > time.Second {
+	if left := d.submitted[0].Deadline - a.clock.Now(); left > time.Second {
 		t.Errorf("got %v left, want at most 1s", left)
 	}
 }
@@ -836,7 +838,7 @@
 		defer close(ended)
 		for ; ctx.Err() == nil; answered++ {
 			if got, err := c.Query(lookupQuery); err != nil || got != "v1" {
-				return // the connection is closed: this command was not taken
+				return // the connection is closed: this command was not processed
 			}
 		}
 	}()
@@ -846,8 +848,8 @@
 	case <-ctx.Done():
 		t.Fatal("the connection is still open")
 	}
-	if n := len(d.taken); n != answered {
-		t.Errorf("got %d ops taken and %d answered, want the same number", n, answered)
+	if n := len(d.submitted); n != answered {
+		t.Errorf("got %d ops submitted and %d answered, want the same number", n, answered)
 	}
 	if n := a.counts.ClientOpen.Load(); n != 0 {
 		t.Errorf("%d connections are still open, want 0", n)
@@ -861,7 +863,7 @@
 	a, _, addr, _ := startAcceptor(t, 1, func(*exchange.Exchange) {})
 	c := dial(t, addr)
 	c.Say(pgwire.AppendQuery(nil, lookupQuery)) // a reply is pending, so it is not evicted
-	waitUntil(t, "the op is taken", func() bool { return takenCount(a.dispatcher.(*fakeDispatcher)) == 1 })
+	waitUntil(t, "the op is submitted", func() bool { return submittedCount(a.dispatcher.(*fakeDispatcher)) == 1 })
 	a.counts.ClientOpen.Add(overflowConns) // stands for others that are not evicted
 	start := time.Now()
 	for range 40 { // all at once: separately, each could wait for a moment
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -295,7 +295,8 @@
 	c.sentCommand.Store(true)
 	now := c.acceptor.clock.Now()
 	op := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), IsRetry: s.Retry,
-		Deadline: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout), Target: c.acceptor.settings.OpTypes[opType].Target, MinPosition: choice.LongPast, Done: make(chan struct{})}
+		Deadline: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout),
+		Target:   c.acceptor.settings.OpTypes[opType].Target, MinPosition: choice.LongPast, Done: make(chan struct{})}
 	if position, ok := c.acceptor.clock.FromUnix(s.After); ok {
 		op.MinPosition = position
 	}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -176,7 +176,7 @@
 // Read parses the settings. Unknown paths are ignored. Missing ones are zero, or a default that imposes no limit.
 func (v Values) Read() (*Settings, error) {
 	r := &reader{Values: v}
-	t := &Settings{
+	settings := &Settings{
 		Zones:          r.list("zones"),
 		Kinds:          r.list("models"),
 		ConnectTimeout: r.duration("limits.connect_timeout"),
@@ -200,29 +200,29 @@
 		},
 	}
 	if zero, err := strconv.ParseUint(v["family_info.zero"], 10, 64); err == nil {
-		t.PositionEpoch = zero
+		settings.PositionEpoch = zero
 	} else if v["family_info.zero"] != "" {
 		r.fail("family_info.zero")
 	}
 	if v["report.via"] == "pull" || v["report.via"] == "piggyback" {
-		t.ReportNames = r.list("report.names")
+		settings.ReportNames = r.list("report.names")
 	}
-	for _, name := range t.ReportNames {
-		t.ReportsPosition = t.ReportsPosition || name == "x0"
-		t.ReportsRole = t.ReportsRole || name == "x1"
+	for _, name := range settings.ReportNames {
+		settings.ReportsPosition = settings.ReportsPosition || name == "x0"
+		settings.ReportsRole = settings.ReportsRole || name == "x1"
 	}
 	if r.boolean("limits.retry_after") {
-		t.MaxRetryAfter = r.duration("limits.max_retry_after")
+		settings.MaxRetryAfter = r.duration("limits.max_retry_after")
 	}
 	switch r.enum("family_info.checks", "silent", "bounce", "await") {
 	case "bounce":
-		t.Checks = choice.Refuses
+		settings.Checks = choice.Refuses
 	case "await":
-		t.Checks = choice.Waits
+		settings.Checks = choice.Waits
 	}
-	r.readOpTypes(t)
-	r.applyDefaults(t)
-	return t, r.err
+	r.readOpTypes(settings)
+	r.applyDefaults(settings)
+	return settings, r.err
 }
 
 const (
@@ -233,16 +233,16 @@
 
 // applyDefaults fills in what the settings do not state. A limit that is missing or zero does not apply, and an answer
 // to an op type without a latency target is useful until the op timeout.
-func (r *reader) applyDefaults(t *Settings) {
-	if t.MaxSends <= 0 || t.MaxSends > maxSendsPerOp {
-		t.MaxSends = maxSendsPerOp
+func (r *reader) applyDefaults(settings *Settings) {
+	if settings.MaxSends <= 0 || settings.MaxSends > maxSendsPerOp {
+		settings.MaxSends = maxSendsPerOp
 	}
-	if t.OverloadFactor <= 0 || t.OverloadTime <= 0 {
-		t.ColdTime = 0 // the capacity of a cold server is unknown: no server is treated as cold
+	if settings.OverloadFactor <= 0 || settings.OverloadTime <= 0 {
+		settings.ColdTime = 0 // the capacity of a cold server is unknown: no server is treated as cold
 	}
 	longestTimeout, names := time.Duration(0), map[string]bool{}
-	for i := range t.OpTypes {
-		o := &t.OpTypes[i]
+	for i := range settings.OpTypes {
+		o := &settings.OpTypes[i]
 		longestTimeout = max(longestTimeout, o.Timeout, o.Target)
 		if o.Timeout == 0 {
 			o.Timeout = unlimited
@@ -250,7 +250,7 @@
 		if o.Target == 0 {
 			o.Target = o.Timeout
 		}
-		name := t.OpTypeNames[i]
+		name := settings.OpTypeNames[i]
 		switch {
 		case r.err != nil:
 		case name == "":
@@ -260,11 +260,11 @@
 		}
 		names[name] = true
 	}
-	if longestTimeout == 0 && len(t.OpTypes) > 0 && r.err == nil {
+	if longestTimeout == 0 && len(settings.OpTypes) > 0 && r.err == nil {
 		r.err = errors.New("settings: expected a latency target (target) or an op timeout (give_up) for at least one op type, found none")
 	}
-	if t.ConnectTimeout == 0 {
-		t.ConnectTimeout = longestTimeout
+	if settings.ConnectTimeout == 0 {
+		settings.ConnectTimeout = longestTimeout
 	}
 }
 
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -165,13 +165,15 @@
 		if e.Started != 0 {
 			at, ok := n.clock.FromUnix(e.Started)
 			if !ok {
-				return nil, nil, fmt.Errorf("server %q: expected started_ms to be a Unix time in milliseconds, found %d", e.ID, e.Started)
+				return nil, nil, fmt.Errorf("server %q: expected started_ms to be a Unix time in milliseconds, found %d",
+					e.ID, e.Started)
 			}
 			l.Started = at
 		}
 		if l.State != choice.Gone {
 			if _, _, err := net.SplitHostPort(e.Addr); err != nil || e.Weight < 0 {
-				return nil, nil, fmt.Errorf("server %q: expected an address host:port and a weight of at least 0, found %q and %v", e.ID, e.Addr, e.Weight)
+				return nil, nil, fmt.Errorf("server %q: expected an address host:port and a weight of at least 0, found %q and %v",
+					e.ID, e.Addr, e.Weight)
 			}
 			addrs[l.ID] = e.Addr
 		}
@@ -205,9 +207,11 @@
 }
 
 // New returns a client of the discovery at addr. The version is that of the list that the gateway knows already.
-func New(addr string, version uint64, names *Names, settings *deployment.Settings, handler ListHandler, counts *counters.Set) *Client {
+func New(addr string, version uint64, names *Names, settings *deployment.Settings, handler ListHandler,
+	counts *counters.Set) *Client {
 	c := &Client{names: names, handler: handler, counts: counts, timeout: callTimeout, dial: (&net.Dialer{}).DialContext,
-		rng: rand.New(rand.NewPCG(settings.Seed, uint64(version))), versionValid: true, version: version, moves: make(chan string, 1), ask: make(chan struct{}, 1), watch: make(chan struct{}, 1)}
+		rng: rand.New(rand.NewPCG(settings.Seed, uint64(version))), versionValid: true, version: version,
+		moves: make(chan string, 1), ask: make(chan struct{}, 1), watch: make(chan struct{}, 1)}
 	c.setAddress(addr)
 	c.http.Transport = &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 2, DialContext: c.connect}
 	return c
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -17,30 +17,44 @@
 // Servers is the server side of the gateway. Its methods are called with the Dispatch's mutex held: they must neither
 // block nor call the Dispatch.
 type Servers interface {
-	Send(x *exchange.Exchange, number uint8, server uint32, by time.Duration) // starts a send, at the latest by the time given
-	Withdraw(server uint32)                                                   // ends the sends to a server that have not begun
-	Cancel(x *exchange.Exchange, number uint8)                                // stops waiting for the result of a send
-	Probe(server uint32)                                                      // starts a probe
-	CloseIdle(server uint32)                                                  // closes the idle connections to a server
-	Locate(addrs map[uint32]string)                                           // sets the addresses of servers
-	Forget(server uint32)                                                     // frees all resources of a server
+	// Send sends an op to a server. The send ends as NotSent if it has not begun by beginBy.
+	Send(x *exchange.Exchange, number uint8, server uint32, beginBy time.Duration)
+	// Withdraw ends the sends to a server that have not begun.
+	Withdraw(server uint32)
+	// Cancel stops waiting for the result of a send.
+	Cancel(x *exchange.Exchange, number uint8)
+	// Probe starts a probe.
+	Probe(server uint32)
+	// CloseIdle closes the idle connections to a server.
+	CloseIdle(server uint32)
+	// Locate sets the addresses of servers.
+	Locate(addrs map[uint32]string)
+	// Forget frees all resources of a server.
+	Forget(server uint32)
 }
 
 // Discovery is the source of server lists. Its methods are called with the Dispatch's mutex held: they must neither
 // block nor call the Dispatch.
 type Discovery interface {
-	Ask()                 // requests the whole list
-	Watch()               // requests changes of the list from now on
-	Forget(server uint32) // frees all resources of a server
+	// Ask requests the whole list.
+	Ask()
+	// Watch requests the changes of the list from now on.
+	Watch()
+	// Forget frees all resources of a server.
+	Forget(server uint32)
 }
 
 // Gossip shares this gateway's observations of servers with other gateways, and reports theirs by Dispatch.Rumour. Its
 // methods are called with the Dispatch's mutex held: they must neither block nor call the Dispatch.
 type Gossip interface {
-	Trouble(server uint32, t choice.Trouble)   // reports this gateway's observation of a server
-	Acked(server uint32, sentAt time.Duration) // reports that a server acked a send within the latency target
-	Forget(server uint32)                      // frees all resources of a server
-	Listed(addrs map[uint32]string)            // reports the servers that a list names; Forget follows for removed ones
+	// Trouble reports this gateway's observation of a server.
+	Trouble(server uint32, t choice.Trouble)
+	// Acked reports that a server acked a send within the latency target.
+	Acked(server uint32, sentAt time.Duration)
+	// Forget frees all resources of a server.
+	Forget(server uint32)
+	// Listed reports the servers that a list names. Forget follows for those that are removed from it.
+	Listed(addrs map[uint32]string)
 }
 
 // Dispatch is the host of one gateway's decision module.
@@ -74,9 +88,10 @@
 }
 
 // Start creates the decision module and passes it the server list that was known at startup.
-func (d *Dispatch) Start(s Servers, l Discovery, settings *choice.Deployment, known []choice.Listed, addrs map[uint32]string) {
+func (d *Dispatch) Start(servers Servers, discovery Discovery, settings *choice.Deployment, known []choice.Listed,
+	addrs map[uint32]string) {
 	d.mu.Lock()
-	d.servers, d.discovery = s, l
+	d.servers, d.discovery = servers, discovery
 	d.gateway = choice.New(d, settings)
 	d.mu.Unlock()
 	d.HandleList(choice.ListCached, known, addrs)
@@ -196,31 +211,32 @@
 }
 
 // SendEnded handles the result of a send; it is called exactly once for each send. An ack ends the op if it is pending.
-func (d *Dispatch) SendEnded(x *exchange.Exchange, number uint8, server uint32, e exchange.AttemptResult) {
+func (d *Dispatch) SendEnded(x *exchange.Exchange, number uint8, server uint32, result exchange.AttemptResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
 	invariant.Check(x.InFlight, "a send ends exactly once")
 	x.InFlight = false
-	if e.Result == choice.Acked && d.gossip != nil && e.Took <= x.Target {
-		d.gossip.Acked(server, now-e.Took)
+	if result.Result == choice.Acked && d.gossip != nil && result.Took <= x.Target {
+		d.gossip.Acked(server, now-result.Took)
 	}
-	if e.Result == choice.Acked && x.Outcome == exchange.Pending {
-		x.Answer = e.Answer
+	if result.Result == choice.Acked && x.Outcome == exchange.Pending {
+		x.Answer = result.Answer
 		d.finish(x, exchange.Acked)
 	}
 	d.removeIfDone(x)
-	d.report(now, server, e.Report)
-	d.gateway.Answer(now, x.ID, number, server, e.Result, e.Took, x.Outcome != exchange.Pending, e.Role, e.Position)
+	d.report(now, server, result.Report)
+	d.gateway.Answer(now, x.ID, number, server, result.Result, result.Took, x.Outcome != exchange.Pending,
+		result.Role, result.Position)
 }
 
 // ProbeEnded handles the result of a probe; it is called exactly once for each probe.
-func (d *Dispatch) ProbeEnded(server uint32, e exchange.AttemptResult) {
+func (d *Dispatch) ProbeEnded(server uint32, result exchange.AttemptResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	d.report(now, server, e.Report)
-	d.gateway.ProbeAnswer(now, server, e.Result, e.Took)
+	d.report(now, server, result.Report)
+	d.gateway.ProbeAnswer(now, server, result.Result, result.Took)
 }
 
 // report passes the load report of a server, if there is one, to the module. The mutex has to be held.
@@ -253,20 +269,21 @@
 }
 
 // Send implements choice.Host, as do all methods below. The module calls them with the mutex held.
-func (d *Dispatch) Send(op, server uint32, by time.Duration) {
+func (d *Dispatch) Send(op, server uint32, beginBy time.Duration) {
 	x := d.table[op]
-	invariant.Check(x != nil && x.Outcome == exchange.Pending && !x.InFlight, "a send is for a pending op that has no send in flight")
+	invariant.Check(x != nil && x.Outcome == exchange.Pending && !x.InFlight,
+		"a send is for a pending op that has no send in flight")
 	if x == nil {
 		return
 	}
 	x.InFlight = true
 	x.sends++
-	d.servers.Send(x.Exchange, x.sends-1, server, by)
+	d.servers.Send(x.Exchange, x.sends-1, server, beginBy)
 }
 
-func (d *Dispatch) BusyReply(op uint32, comeBackIn time.Duration) {
+func (d *Dispatch) BusyReply(op uint32, retryAfter time.Duration) {
 	if x := d.table[op]; x != nil && x.Outcome == exchange.Pending {
-		x.RetryAfter = comeBackIn
+		x.RetryAfter = retryAfter
 		d.finish(x.Exchange, exchange.BusyReplied)
 	}
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -23,14 +23,14 @@
 }
 
 type sendCall struct {
-	x      *exchange.Exchange
-	number uint8
-	server uint32
-	by     time.Duration
+	x       *exchange.Exchange
+	number  uint8
+	server  uint32
+	beginBy time.Duration
 }
 
-func (s *fakeServers) Send(x *exchange.Exchange, number uint8, server uint32, by time.Duration) {
-	s.sent = append(s.sent, sendCall{x, number, server, by})
+func (s *fakeServers) Send(x *exchange.Exchange, number uint8, server uint32, beginBy time.Duration) {
+	s.sent = append(s.sent, sendCall{x, number, server, beginBy})
 }
 func (s *fakeServers) Withdraw(uint32)                  { s.withdrawn++ }
 func (s *fakeServers) Cancel(*exchange.Exchange, uint8) { s.cancelled++ }
@@ -42,10 +42,10 @@
 // fakeDiscovery counts the calls that the module makes.
 type fakeDiscovery struct{ asked, watched, forgotten int }
 
-func (l *fakeDiscovery) Ask()   { l.asked++ }
-func (l *fakeDiscovery) Watch() { l.watched++ }
+func (f *fakeDiscovery) Ask()   { f.asked++ }
+func (f *fakeDiscovery) Watch() { f.watched++ }
 
-func (l *fakeDiscovery) Forget(uint32) { l.forgotten++ }
+func (f *fakeDiscovery) Forget(uint32) { f.forgotten++ }
 
 const primary, replica = 1, 2
 
@@ -75,7 +75,7 @@
 func TestAckOfSendEndsOp(t *testing.T) {
 	d, s, l := startDispatch(t)
 	read, write := submitOp(d, 0, time.Second), submitOp(d, 1, time.Second)
-	if len(s.sent) != 2 || s.sent[0].server != replica || s.sent[1].server != primary || s.sent[0].by < read.Deadline || l.watched != 1 {
+	if len(s.sent) != 2 || s.sent[0].server != replica || s.sent[1].server != primary || s.sent[0].beginBy < read.Deadline || l.watched != 1 {
 		t.Fatalf("got calls %+v and %+v, want the read sent to the replica, the write to the primary, and one watch", s, l)
 	}
 	d.SendEnded(read, 0, replica, exchange.AttemptResult{Result: choice.Acked, Position: choice.LongPast, Answer: []byte("row")})
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -74,13 +74,16 @@
 
 // Dispatcher handles the ops that the client side submits.
 type Dispatcher interface {
-	Submit(x *Exchange)     // starts the op; Done is closed when it has ended
-	ClientLeft(x *Exchange) // reports that the client has disconnected
-	Stop()                  // ends all pending ops, as the process is about to exit
+	// Submit starts the op. Done is closed when it has ended.
+	Submit(x *Exchange)
+	// ClientLeft reports that the client has disconnected.
+	ClientLeft(x *Exchange)
+	// Stop ends all pending ops, as the process is about to exit.
+	Stop()
 }
 
 // Events handles the results that the server side reports.
 type Events interface {
-	SendEnded(x *Exchange, number uint8, server uint32, e AttemptResult)
-	ProbeEnded(server uint32, e AttemptResult)
+	SendEnded(x *Exchange, number uint8, server uint32, result AttemptResult)
+	ProbeEnded(server uint32, result AttemptResult)
 }
--- a/internal/gossip/carrier/attrs.go
+++ b/internal/gossip/carrier/attrs.go
@@ -12,7 +12,7 @@
 
 // attrs returns the counters. It must be called by the goroutine that owns the node.
 func (c *Carrier) attrs() (all []slog.Attr) {
-	members := [4]int64{} // by standing
+	members := [4]int64{} // by status
 	for _, p := range c.node.Peers() {
 		members[p.Status]++
 	}
@@ -24,7 +24,8 @@
 	}
 	ownCounts := reflect.ValueOf(&c.counts).Elem()
 	for i := range ownCounts.NumField() {
-		all = append(all, slog.Int64("dropped_"+snakeCase(ownCounts.Type().Field(i).Name), ownCounts.Field(i).Addr().Interface().(*atomic.Int64).Load()))
+		all = append(all, slog.Int64("dropped_"+snakeCase(ownCounts.Type().Field(i).Name),
+			ownCounts.Field(i).Addr().Interface().(*atomic.Int64).Load()))
 	}
 	return all
 }
--- a/internal/gossip/carrier/carrier.go
+++ b/internal/gossip/carrier/carrier.go
@@ -35,7 +35,7 @@
 }
 
 // Carrier connects one instance's gossip node to the network and to the gateway. It implements gossip.Host and
-// dispatch.Sharing.
+// dispatch.Gossip.
 type Carrier struct {
 	settings config.Gossip
 	name     string
@@ -126,20 +126,24 @@
 		}
 		ownAddr = netip.AddrPortFrom(a.AddrPort().Addr().Unmap(), a.AddrPort().Port())
 	}
-	c := &Carrier{settings: settings, name: name, clock: clock, gateway: gateway, serverID: serverID, udp: udp, tcp: tcp, events: make(chan func(), eventQueueSize),
-		stopped: make(chan struct{}), evidence: make(chan struct{}, 1), timer: time.NewTimer(time.Hour), inboundSlots: make(chan struct{}, settings.Limits.Streams), outboundSlots: make(chan struct{}, maxOutboundStreams),
-		hashByServer: map[uint32]uint64{}, serverByHash: map[uint64]uint32{}, troubles: map[uint32]choice.Trouble{}, acks: map[uint32]time.Duration{}}
+	c := &Carrier{settings: settings, name: name, clock: clock, gateway: gateway, serverID: serverID, udp: udp, tcp: tcp,
+		events: make(chan func(), eventQueueSize), stopped: make(chan struct{}), evidence: make(chan struct{}, 1),
+		timer: time.NewTimer(time.Hour), inboundSlots: make(chan struct{}, settings.Limits.Streams),
+		outboundSlots: make(chan struct{}, maxOutboundStreams), hashByServer: map[uint32]uint64{},
+		serverByHash: map[uint64]uint32{}, troubles: map[uint32]choice.Trouble{}, acks: map[uint32]time.Duration{}}
 	c.rumouredServers.Store(&map[uint32]struct{}{})
 	runID := rand.Uint64()
 	c.runID = runID
 	c.codec = wire.NewCodec(keyring, settings.Cluster, runID, settings.Limits.Members, time.Now)
 	c.certNotAfter = time.Unix(keyring.Certificate.NotAfter, 0)
 	limits := &settings.Limits
-	c.node = gossip.New(c, gossip.Config{Name: name, Key: keyring.Certificate.KeyID(), Run: runID, Seed: rand.Uint64(), Addr: ownAddr,
-		LearnAddr: ownAddr.Addr().IsUnspecified(), ProbeEvery: settings.ProbeEvery, ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor,
-		TellEvery: settings.TellEvery, SyncEvery: settings.SyncEvery, RumourLife: settings.RumourLife, Members: limits.Members, Rumours: limits.Rumours,
-		RumoursPerObserver: limits.RumoursPerObserver, ObserversPerServer: limits.ObserversPerServer, Datagram: int(limits.Datagram),
-		DatagramsPerTell: limits.DatagramsPerTell, BytesPerSecond: int(limits.BytesPerSecond), Seeds: c.resolveSeeds(context.Background(), true)})
+	c.node = gossip.New(c, gossip.Config{Name: name, Key: keyring.Certificate.KeyID(), Run: runID, Seed: rand.Uint64(),
+		Addr: ownAddr, LearnAddr: ownAddr.Addr().IsUnspecified(), ProbeEvery: settings.ProbeEvery,
+		ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor, TellEvery: settings.TellEvery,
+		SyncEvery: settings.SyncEvery, RumourLife: settings.RumourLife, Members: limits.Members, Rumours: limits.Rumours,
+		RumoursPerObserver: limits.RumoursPerObserver, ObserversPerServer: limits.ObserversPerServer,
+		Datagram: int(limits.Datagram), DatagramsPerTell: limits.DatagramsPerTell,
+		BytesPerSecond: int(limits.BytesPerSecond), Seeds: c.resolveSeeds(context.Background(), true)})
 	return c, nil
 }
 
@@ -314,7 +318,7 @@
 	return nil
 }
 
-// Datagram signs a message and sends it. It implements gossip.Host, as do Exchange, Wake, Rumoured and Log.
+// Datagram signs a message and sends it. It implements gossip.Host, as do Exchange, Wake, WeightChanged and Log.
 func (c *Carrier) Datagram(to netip.AddrPort, key gossip.KeyID, m *gossip.Message) {
 	c.codecMu.Lock()
 	d, err := c.codec.EncodeDatagram(key, m)
@@ -330,7 +334,7 @@
 // Wake sets the timer that calls Node.Timer.
 func (c *Carrier) Wake(at time.Duration) { c.timer.Reset(max(0, at-c.clock.Now())) }
 
-// Rumoured reports the weight of a server's rumours to the gateway if its list names the server.
+// WeightChanged reports the weight of a server's rumours to the gateway if its list names the server.
 func (c *Carrier) WeightChanged(server uint64, weight float64) {
 	c.mu.Lock()
 	id, ok := c.serverByHash[server]
@@ -383,7 +387,7 @@
 	}
 }
 
-// Trouble records the gateway's own trouble with a server. It implements dispatch.Sharing, as do Acked, Forget and
+// Trouble records the gateway's own trouble with a server. It implements dispatch.Gossip, as do Acked, Forget and
 // Listed. They are called with the gateway's lock held and must not block.
 func (c *Carrier) Trouble(server uint32, t choice.Trouble) {
 	c.mu.Lock()
--- a/internal/gossip/carrier/carrier_test.go
+++ b/internal/gossip/carrier/carrier_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// countStanding returns the number of members with a standing, as the instance sees it.
-func (i *instance) countStanding(s gossip.Status) (count int) {
+// countByStatus returns the number of members with a status, as the instance sees it.
+func (i *instance) countByStatus(s gossip.Status) (count int) {
 	peers, _ := callNode(i.Carrier, i.node.Peers)
 	for _, p := range peers {
 		if p.Status == s {
@@ -143,7 +143,7 @@
 		all = append(all, tc.start(name, tc.issueKeyring(name, time.Hour, tc.authority), nil))
 	}
 	for _, i := range all {
-		tc.waitUntil(i.name+" knows all 4 others", func() bool { return i.countStanding(gossip.StatusAlive) == 4 })
+		tc.waitUntil(i.name+" knows all 4 others", func() bool { return i.countByStatus(gossip.StatusAlive) == 4 })
 	}
 	for _, i := range all[:4] {
 		i.Trouble(3, choice.Silence)
@@ -157,7 +157,7 @@
 	}
 	tc.waitUntil("the rumour about server 3 is withdrawn", func() bool { return all[4].recorder.weight(3) == 0 })
 	all[0].shutdown()
-	tc.waitUntil("the fifth instance holds the first as left", func() bool { return all[4].countStanding(gossip.StatusLeft) == 1 })
+	tc.waitUntil("the fifth instance holds the first as left", func() bool { return all[4].countByStatus(gossip.StatusLeft) == 1 })
 }
 
 // A rumour about a server that the gateway's list does not name yet is reported to the gateway when the list names it.
@@ -165,7 +165,7 @@
 	tc := newTestCluster(t)
 	a, b := tc.start("a", tc.issueKeyring("a", time.Hour, tc.authority), nil), tc.start("b", tc.issueKeyring("b", time.Hour, tc.authority), nil)
 	tc.waitUntil("a and b are members of each other", func() bool {
-		return a.countStanding(gossip.StatusAlive) == 1 && b.countStanding(gossip.StatusAlive) == 1
+		return a.countByStatus(gossip.StatusAlive) == 1 && b.countByStatus(gossip.StatusAlive) == 1
 	})
 	b.Forget(7)
 	a.Trouble(7, choice.Unreachable)
@@ -184,7 +184,7 @@
 	tc := newTestCluster(t)
 	a := tc.start("a", tc.issueKeyring("a", time.Hour, tc.authority), nil)
 	b := tc.start("b", tc.issueKeyring("b", time.Hour, tc.authority), nil)
-	tc.waitUntil("b is a member at a", func() bool { return a.countStanding(gossip.StatusAlive) == 1 })
+	tc.waitUntil("b is a member at a", func() bool { return a.countByStatus(gossip.StatusAlive) == 1 })
 	other, err := keys.NewAuthority("other")
 	if err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 	tc.waitUntil("the foreign instances have been rejected", func() bool {
 		return a.counts.Authority.Load()+b.counts.Authority.Load() > 1 && a.counts.Cluster.Load()+b.counts.Cluster.Load() > 1
 	})
-	if a.countStanding(gossip.StatusAlive) != 1 || b.countStanding(gossip.StatusAlive) != 1 {
+	if a.countByStatus(gossip.StatusAlive) != 1 || b.countByStatus(gossip.StatusAlive) != 1 {
 		t.Error("members after foreign instances tried to join: got more or fewer than 1, want 1")
 	}
 	if _, err := keys.NewKeyring(tc.issueKeyring("x", time.Hour, tc.authority).Certificate, tc.issueKeyring("x", time.Hour, tc.authority).Private, nil, time.Now()); err == nil {
@@ -221,7 +221,7 @@
 	waitForMembers := func(count int, instances ...*instance) {
 		t.Helper()
 		for _, i := range instances {
-			tc.waitUntil(fmt.Sprintf("%s knows %d members", i.name, count), func() bool { return i.countStanding(gossip.StatusAlive) == count })
+			tc.waitUntil(fmt.Sprintf("%s knows %d members", i.name, count), func() bool { return i.countByStatus(gossip.StatusAlive) == count })
 		}
 	}
 	waitForMembers(3, all...)
@@ -269,7 +269,7 @@
 		rekey(i, next, next)
 	}
 	waitForMembers(2, all[:3]...)
-	if n := all[0].countStanding(gossip.StatusDead); n != 0 {
+	if n := all[0].countByStatus(gossip.StatusDead); n != 0 {
 		t.Errorf("dead members after the rotation: got %d, want 0", n)
 	}
 	if err := all[0].Rekey(keyrings["n1"]); err == nil {
@@ -282,7 +282,7 @@
 	tc := newTestCluster(t)
 	a, b := tc.start("a", tc.issueKeyring("a", time.Hour, tc.authority), nil), tc.start("b", tc.issueKeyring("b", time.Hour, tc.authority), nil)
 	tc.waitUntil("a and b are members of each other", func() bool {
-		return a.countStanding(gossip.StatusAlive) == 1 && b.countStanding(gossip.StatusAlive) == 1
+		return a.countByStatus(gossip.StatusAlive) == 1 && b.countByStatus(gossip.StatusAlive) == 1
 	})
 	c, err := net.Dial("udp", a.Addr().String())
 	if err != nil {
@@ -311,7 +311,7 @@
 		now, err := callNode(a.Carrier, a.node.Counts)
 		return err == nil && now.Received > before.Received+3
 	})
-	if a.countStanding(gossip.StatusAlive) != 1 || b.countStanding(gossip.StatusAlive) != 1 {
+	if a.countByStatus(gossip.StatusAlive) != 1 || b.countByStatus(gossip.StatusAlive) != 1 {
 		t.Error("alive members after invalid datagrams: got other than 1, want 1")
 	}
 }
@@ -347,7 +347,7 @@
 	a := tc.start("a", tc.issueKeyring("a", time.Hour, tc.authority), nil)
 	b := tc.start("b", tc.issueKeyring("b", time.Hour, tc.authority), func(s *config.Gossip) { s.Listen = "0.0.0.0:0" })
 	tc.waitUntil("a reaches b", func() bool {
-		return a.countStanding(gossip.StatusAlive) == 1 && b.countStanding(gossip.StatusAlive) == 1
+		return a.countByStatus(gossip.StatusAlive) == 1 && b.countByStatus(gossip.StatusAlive) == 1
 	})
 	peers, err := callNode(a.Carrier, a.node.Peers)
 	if want := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), b.Addr().Port()); err != nil || peers[0].Addr != want {
--- a/internal/gossip/carrier/stream.go
+++ b/internal/gossip/carrier/stream.go
@@ -181,7 +181,8 @@
 		return
 	}
 	c.counts.StreamsFailed.Add(1)
-	for _, cause := range []error{wire.ErrMalformed, wire.ErrCluster, wire.ErrUnknownKey, wire.ErrTag, wire.ErrSignature, wire.ErrExpired, wire.ErrUnknownAuthority} {
+	for _, cause := range []error{wire.ErrMalformed, wire.ErrCluster, wire.ErrUnknownKey, wire.ErrTag, wire.ErrSignature,
+		wire.ErrExpired, wire.ErrUnknownAuthority} {
 		if errors.Is(err, cause) {
 			c.countDropped(err)
 		}
--- a/internal/gossip/credit.go
+++ b/internal/gossip/credit.go
@@ -28,7 +28,8 @@
 func (m *member) credit(now time.Duration) float64 {
 	confirmed, contradicted := decay(m.confirmed, now-m.creditUpdatedAt, creditDecayTime),
 		decay(m.contradicted, now-m.creditUpdatedAt, creditDecayTime)
-	return (priorConfirmations + confirmed) / (priorConfirmations + priorContradictions + confirmed + contradictionWeight*contradicted)
+	return (priorConfirmations + confirmed) /
+		(priorConfirmations + priorContradictions + confirmed + contradictionWeight*contradicted)
 }
 
 // decayCredit decays both counts to now.
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -116,8 +116,8 @@
 
 // New returns a node that does nothing until Start is called.
 func New(h Host, c Config) *Node {
-	n := &Node{host: h, config: c, rng: rand.New(rand.NewPCG(c.Seed, c.Run)), byName: map[string]*member{}, byKey: map[KeyID]*member{},
-		serversByID: map[uint64]*server{}, observedAddrs: map[netip.Addr]map[string]bool{}}
+	n := &Node{host: h, config: c, rng: rand.New(rand.NewPCG(c.Seed, c.Run)), byName: map[string]*member{},
+		byKey: map[KeyID]*member{}, serversByID: map[uint64]*server{}, observedAddrs: map[netip.Addr]map[string]bool{}}
 	n.rumours.byObserver = map[string][]*entry{}
 	n.own = Claim{Kind: Alive, Name: c.Name, By: c.Name, Key: c.Key, Run: c.Run, Incarnation: 1, Addr: c.Addr}
 	return n
--- a/internal/gossip/keys/keys.go
+++ b/internal/gossip/keys/keys.go
@@ -38,9 +38,9 @@
 // Errors returned for invalid names, keys, certificates and files.
 var (
 	ErrInvalid          = errors.New("invalid key or certificate")
-	ErrSignature        = errors.New("the signature does not fit")
-	ErrExpired          = errors.New("the certificate has expired")
-	ErrUnknownAuthority = errors.New("the certificate is of an authority that does not count here")
+	ErrSignature        = errors.New("invalid certificate signature")
+	ErrExpired          = errors.New("certificate has expired")
+	ErrUnknownAuthority = errors.New("certificate is signed by an authority that is not accepted here")
 	ErrInvalidName      = errors.New("invalid name: must be 1 to 32 letters, digits, dots, dashes and underscores")
 )
 
@@ -56,8 +56,9 @@
 	if EncMode, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
 		panic(err)
 	}
-	DecMode, err = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden,
-		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxNestedLevels: 8, MaxArrayElements: 4096, MaxMapPairs: 16}.DecMode()
+	DecMode, err = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
+		TagsMd: cbor.TagsForbidden, ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxNestedLevels: 8,
+		MaxArrayElements: 4096, MaxMapPairs: 16}.DecMode()
 	if err != nil {
 		panic(err)
 	}
@@ -116,7 +117,8 @@
 	if err := DecMode.Unmarshal(b, c); err != nil {
 		return nil, ErrInvalid
 	}
-	if len(c.Public) != ed25519.PublicKeySize || len(c.Signature) != ed25519.SignatureSize || len(c.Authority) != len(gossip.KeyID{}) {
+	if len(c.Public) != ed25519.PublicKeySize || len(c.Signature) != ed25519.SignatureSize ||
+		len(c.Authority) != len(gossip.KeyID{}) {
 		return nil, ErrInvalid
 	}
 	if !ValidName(c.Name) {
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -9,7 +9,8 @@
 // memberState is the state of a member.
 type memberState uint8
 
-// The states of a member, in the order of the constants of Status. Each is this instance's own judgement: reports of others alone make nobody dead.
+// The states of a member, in the order of the constants of Status. Each is this instance's own judgement: reports of
+// others alone make nobody dead.
 const (
 	alive memberState = iota
 	suspect
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -55,7 +55,7 @@
 	Run      uint64 // of the observer
 	Server   uint64 // a hash of the server's id in the list, the same at every instance
 	Symptom  Symptom
-	Strength uint8         // of at most 255
+	Strength uint8         // weight of the symptom, 255 at most
 	Number   uint32        // counts an observer's rumours within its run
 	Made     time.Duration // time since the observer's start, by its own clock
 	Raw      []byte        // as signed; nil for a rumour that its own instance has yet to sign
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -167,7 +167,9 @@
 		if i := slices.IndexFunc(n.probes, func(p *probe) bool { return p.number == msg.Number && p.target == m }); i >= 0 {
 			n.probes = slices.Delete(n.probes, i, i+1)
 			n.adjustHealthScore(-1)
-		} else if i := slices.IndexFunc(n.relayedPings, func(r *relayedPing) bool { return r.number == msg.Number && r.target == m }); i >= 0 {
+		} else if i := slices.IndexFunc(n.relayedPings, func(r *relayedPing) bool {
+			return r.number == msg.Number && r.target == m
+		}); i >= 0 {
 			r := n.relayedPings[i]
 			n.relayedPings = slices.Delete(n.relayedPings, i, i+1)
 			n.send(now, r.requester, &Message{Kind: Ack, Number: r.requesterNumber, Claims: []Claim{m.claim}})
--- a/internal/gossip/rumour.go
+++ b/internal/gossip/rumour.go
@@ -387,8 +387,8 @@
 		n.rumours.remove(n, s.entries[i])
 	}
 	n.lastRumourNumber++
-	e := &entry{arrivedAt: now, Rumour: Rumour{Observer: n.config.Name, Key: n.own.Key, Run: n.own.Run, Server: s.id, Symptom: symptom,
-		Strength: strength, Number: n.lastRumourNumber, Made: now}}
+	e := &entry{arrivedAt: now, Rumour: Rumour{Observer: n.config.Name, Key: n.own.Key, Run: n.own.Run, Server: s.id,
+		Symptom: symptom, Strength: strength, Number: n.lastRumourNumber, Made: now}}
 	if !n.rumours.makeRoom(n, now, e) {
 		n.counts.RumoursDropped++
 		return
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -77,7 +77,8 @@
 // member that may not know this instance also carries this instance's claim about itself. Gossip doesn't, because no answer
 // to it would show whether the claim has arrived.
 func (n *Node) withUpdates(now time.Duration, to *member, msg *Message) *Message {
-	if msg.Kind != Tell && !to.knowsUs && !slices.ContainsFunc(msg.Claims, func(c Claim) bool { return c.Name == n.config.Name }) {
+	if msg.Kind != Tell && !to.knowsUs &&
+		!slices.ContainsFunc(msg.Claims, func(c Claim) bool { return c.Name == n.config.Name }) {
 		msg.Claims = append(msg.Claims, n.selfClaim(now))
 	}
 	if len(n.updates) == 0 || !n.withinBudget(now) {
@@ -144,5 +145,6 @@
 // withinBudget reports whether the budget has room for a full datagram.
 func (n *Node) withinBudget(now time.Duration) bool {
 	n.charge(now, 0)
-	return n.budgetUsed+float64(n.config.Datagram) <= float64(max(budgetBurstSeconds*n.config.BytesPerSecond, 2*n.config.Datagram))
+	return n.budgetUsed+float64(n.config.Datagram) <=
+		float64(max(budgetBurstSeconds*n.config.BytesPerSecond, 2*n.config.Datagram))
 }
--- a/internal/gossip/wire/wire.go
+++ b/internal/gossip/wire/wire.go
@@ -41,8 +41,8 @@
 
 // Limits on the content of one message, in addition to its size in bytes.
 const (
-	maxItems = 64   // claims and rumours of a datagram; a stream message may hold 8 times as many
-	maxMarks = 4096 // marks of a stream message, on average over its three lists
+	maxItems        = 64   // claims and rumours of a datagram; a stream message may hold 8 times as many
+	maxFingerprints = 4096 // fingerprints of a stream message, on average over its three lists
 )
 
 // Reasons for dropping a message or one of its items. Each is counted separately.
@@ -156,7 +156,8 @@
 	if len(cd.peers) >= cd.maxPeers { // evict the least recently used; the key breaks ties
 		var oldest *Peer
 		for _, p := range cd.peers {
-			if oldest == nil || p.lastUse < oldest.lastUse || p.lastUse == oldest.lastUse && string(p.Key[:]) < string(oldest.Key[:]) {
+			if oldest == nil || p.lastUse < oldest.lastUse ||
+				p.lastUse == oldest.lastUse && string(p.Key[:]) < string(oldest.Key[:]) {
 				oldest = p
 			}
 		}
@@ -219,15 +220,15 @@
 		Age int64    // milliseconds
 	}
 	messageBody struct {
-		_        struct{} `cbor:",toarray"`
-		Kind     gossip.Kind
-		Number   uint32
-		Prove    bool
-		Target   string
-		TargetAt []byte
-		Clock    int64    // microseconds
-		Claims   [][]byte // encoded claimItems
-		Rumours  []agedRumour
+		_          struct{} `cbor:",toarray"`
+		Kind       gossip.Kind
+		Number     uint32
+		WantClaim  bool
+		Target     string
+		TargetAddr []byte
+		Clock      int64    // microseconds
+		Claims     [][]byte // encoded claimItems
+		Rumours    []agedRumour
 	}
 	digestBody struct {
 		_       struct{} `cbor:",toarray"`
@@ -237,13 +238,13 @@
 		Rumours []gossip.Fingerprint
 	}
 	itemsBody struct {
-		_       struct{} `cbor:",toarray"`
-		Claims  [][]byte
-		Rumours []agedRumour
-		Wants   []gossip.Fingerprint
-		Lacks   []gossip.Fingerprint
-		Alive   []gossip.Fingerprint
-		SeenAt  []byte
+		_              struct{} `cbor:",toarray"`
+		Claims         [][]byte
+		Rumours        []agedRumour
+		MissingClaims  []gossip.Fingerprint
+		MissingRumours []gossip.Fingerprint
+		Reachable      []gossip.Fingerprint
+		ObservedAddr   []byte
 	}
 )
 
@@ -275,12 +276,14 @@
 	if c.Raw != nil {
 		return c.Raw
 	}
-	body := marshal(&claimBody{Kind: c.Kind, Name: c.Name, Incarnation: c.Incarnation, Run: c.Run, Addr: addrBytes(c.Addr), Clock: c.Clock.Microseconds()})
+	body := marshal(&claimBody{Kind: c.Kind, Name: c.Name, Incarnation: c.Incarnation, Run: c.Run,
+		Addr: addrBytes(c.Addr), Clock: c.Clock.Microseconds()})
 	signer := cd.certificate
 	if c.Kind == gossip.Accused {
 		signer = cd.ownKey[:]
 	}
-	return marshal(&claimItem{Body: body, Signer: signer, Signature: ed25519.Sign(cd.keyring.Private, append([]byte(claimDomain+cd.cluster+"\x00"), body...))})
+	return marshal(&claimItem{Body: body, Signer: signer,
+		Signature: ed25519.Sign(cd.keyring.Private, append([]byte(claimDomain+cd.cluster+"\x00"), body...))})
 }
 
 // encodeRumour returns a rumour's encoding as it was received, or signs and encodes one of the instance's own. Each
@@ -292,9 +295,10 @@
 	if raw := cd.signedRumours[r.Number]; raw != nil {
 		return raw
 	}
-	body := marshal(&rumourBody{Key: r.Key[:], Run: r.Run, Server: r.Server, Symptom: r.Symptom, Strength: r.Strength, Number: r.Number,
-		Made: r.Made.Microseconds()})
-	raw := marshal(&rumourItem{Body: body, Signature: ed25519.Sign(cd.keyring.Private, append([]byte(rumourDomain+cd.cluster+"\x00"), body...))})
+	body := marshal(&rumourBody{Key: r.Key[:], Run: r.Run, Server: r.Server, Symptom: r.Symptom, Strength: r.Strength,
+		Number: r.Number, Made: r.Made.Microseconds()})
+	raw := marshal(&rumourItem{Body: body,
+		Signature: ed25519.Sign(cd.keyring.Private, append([]byte(rumourDomain+cd.cluster+"\x00"), body...))})
 	if len(cd.signedOrder) >= maxSigned {
 		delete(cd.signedRumours, cd.signedOrder[0])
 		cd.signedOrder = cd.signedOrder[1:]
@@ -317,7 +321,8 @@
 	if _, ok := cd.verified[sum]; ok {
 		return true
 	}
-	if len(signature) != ed25519.SignatureSize || !ed25519.Verify(public, append([]byte(domain+cd.cluster+"\x00"), body...), signature) {
+	if len(signature) != ed25519.SignatureSize ||
+		!ed25519.Verify(public, append([]byte(domain+cd.cluster+"\x00"), body...), signature) {
 		return false
 	}
 	if len(cd.verifiedOrder) >= maxVerified {
@@ -354,31 +359,33 @@
 	if !cd.verifySignature(p.Public, claimDomain, item.Body, item.Signature) {
 		return c, ErrSignature
 	}
-	return gossip.Claim{Kind: body.Kind, Name: body.Name, Incarnation: body.Incarnation, By: p.Name, Key: p.Key, Run: body.Run, Addr: addr,
-		Clock: time.Duration(body.Clock) * time.Microsecond, Raw: raw}, nil
+	return gossip.Claim{Kind: body.Kind, Name: body.Name, Incarnation: body.Incarnation, By: p.Name, Key: p.Key,
+		Run: body.Run, Addr: addr, Clock: time.Duration(body.Clock) * time.Microsecond, Raw: raw}, nil
 }
 
 // maxClockMicroseconds is the maximum uptime that an instance may claim: 100 years.
 const maxClockMicroseconds = 100 * 365 * 24 * 3600 * 1e6
 
 // verifyRumour decodes and verifies a rumour.
-func (cd *Codec) verifyRumour(t *agedRumour) (told gossip.RelayedRumour, err error) {
+func (cd *Codec) verifyRumour(aged *agedRumour) (relayed gossip.RelayedRumour, err error) {
 	var item rumourItem
 	var body rumourBody
-	if keys.DecMode.Unmarshal(t.Raw, &item) != nil || keys.DecMode.Unmarshal(item.Body, &body) != nil || len(body.Key) != len(gossip.KeyID{}) ||
+	if keys.DecMode.Unmarshal(aged.Raw, &item) != nil || keys.DecMode.Unmarshal(item.Body, &body) != nil ||
+		len(body.Key) != len(gossip.KeyID{}) ||
 		body.Symptom > gossip.Late || body.Made < 0 || body.Made > maxClockMicroseconds {
-		return told, ErrMalformed
+		return relayed, ErrMalformed
 	}
 	p, err := cd.validPeer(gossip.KeyID(body.Key))
 	if err != nil {
-		return told, err
+		return relayed, err
 	}
 	if !cd.verifySignature(p.Public, rumourDomain, item.Body, item.Signature) {
-		return told, ErrSignature
+		return relayed, ErrSignature
 	}
-	age := time.Duration(min(max(0, t.Age), maxClockMicroseconds/1000)) * time.Millisecond
-	return gossip.RelayedRumour{Age: age, Rumour: gossip.Rumour{Observer: p.Name, Key: p.Key, Run: body.Run, Server: body.Server, Symptom: body.Symptom,
-		Strength: body.Strength, Number: body.Number, Made: time.Duration(body.Made) * time.Microsecond, Raw: t.Raw}}, nil
+	age := time.Duration(min(max(0, aged.Age), maxClockMicroseconds/1000)) * time.Millisecond
+	return gossip.RelayedRumour{Age: age, Rumour: gossip.Rumour{Observer: p.Name, Key: p.Key, Run: body.Run,
+		Server: body.Server, Symptom: body.Symptom, Strength: body.Strength, Number: body.Number,
+		Made: time.Duration(body.Made) * time.Microsecond, Raw: aged.Raw}}, nil
 }
 
 // Knows reports whether the certificate of a key has been verified.
@@ -392,7 +399,8 @@
 	if err != nil {
 		return nil, err
 	}
-	body := messageBody{Kind: m.Kind, Number: m.Number, Prove: m.WantClaim, Target: m.Target, TargetAt: addrBytes(m.TargetAddr), Clock: m.Clock.Microseconds()}
+	body := messageBody{Kind: m.Kind, Number: m.Number, WantClaim: m.WantClaim, Target: m.Target,
+		TargetAddr: addrBytes(m.TargetAddr), Clock: m.Clock.Microseconds()}
 	flags := byte(0)
 	for i := range m.Claims {
 		if m.Claims[i].Raw == nil && m.Claims[i].Kind != gossip.Accused && i == 0 {
@@ -401,7 +409,8 @@
 		body.Claims = append(body.Claims, cd.encodeClaim(&m.Claims[i]))
 	}
 	for i := range m.Rumours {
-		body.Rumours = append(body.Rumours, agedRumour{Raw: cd.encodeRumour(&m.Rumours[i].Rumour), Age: m.Rumours[i].Age.Milliseconds()})
+		body.Rumours = append(body.Rumours, agedRumour{Raw: cd.encodeRumour(&m.Rumours[i].Rumour),
+			Age: m.Rumours[i].Age.Milliseconds()})
 	}
 	cd.counter++
 	d := make([]byte, 0, 1400)
@@ -474,14 +483,16 @@
 	if err != nil {
 		return out, err
 	}
-	return gossip.Datagram{From: p.Name, Key: p.Key, Run: byteOrder.Uint64(d[16:]), Counter: byteOrder.Uint64(d[24:]), Message: m}, nil
+	return gossip.Datagram{From: p.Name, Key: p.Key, Run: byteOrder.Uint64(d[16:]),
+		Counter: byteOrder.Uint64(d[24:]), Message: m}, nil
 }
 
 // verifySender verifies the sender's certificate, which it takes from a body that is not verified yet.
 func (cd *Codec) verifySender(id gossip.KeyID, raw []byte) (*Peer, error) {
 	var body messageBody
 	var item claimItem
-	if keys.DecMode.Unmarshal(raw, &body) != nil || len(body.Claims) == 0 || keys.DecMode.Unmarshal(body.Claims[0], &item) != nil {
+	if keys.DecMode.Unmarshal(raw, &body) != nil || len(body.Claims) == 0 ||
+		keys.DecMode.Unmarshal(body.Claims[0], &item) != nil {
 		return nil, ErrMalformed
 	}
 	if c, err := keys.ParseCertificate(item.Signer); err != nil || c.KeyID() != id {
@@ -496,19 +507,20 @@
 	if err := keys.DecMode.Unmarshal(raw, &body); err != nil {
 		return nil, ErrMalformed
 	}
-	at, err := parseAddr(body.TargetAt)
+	at, err := parseAddr(body.TargetAddr)
 	if err != nil || body.Kind < gossip.Ping || body.Kind > gossip.Tell || len(body.Claims)+len(body.Rumours) > maxItems ||
 		body.Target != "" && !keys.ValidName(body.Target) || body.Clock < 0 || body.Clock > maxClockMicroseconds {
 		return nil, ErrMalformed
 	}
-	m := &gossip.Message{Kind: body.Kind, Number: body.Number, WantClaim: body.Prove, Target: body.Target, TargetAddr: at,
+	m := &gossip.Message{Kind: body.Kind, Number: body.Number, WantClaim: body.WantClaim, Target: body.Target, TargetAddr: at,
 		Clock: time.Duration(body.Clock) * time.Microsecond}
 	m.Claims, m.Rumours = cd.verifyItems(body.Claims, body.Rumours, dropped)
 	return m, nil
 }
 
 // verifyItems verifies claims and rumours: claims first, as they carry the certificates of the rumours' observers.
-func (cd *Codec) verifyItems(claims [][]byte, rumours []agedRumour, dropped func(error)) (cs []gossip.Claim, rs []gossip.RelayedRumour) {
+func (cd *Codec) verifyItems(claims [][]byte, rumours []agedRumour,
+	dropped func(error)) (cs []gossip.Claim, rs []gossip.RelayedRumour) {
 	for _, raw := range claims {
 		if c, err := cd.verifyClaim(raw); err == nil {
 			cs = append(cs, c)
@@ -534,7 +546,8 @@
 // DecodeDigest decodes a digest received from a peer. The claim in it must be the peer's own.
 func (cd *Codec) DecodeDigest(raw []byte, from *Peer) (*gossip.Digest, error) {
 	var body digestBody
-	if err := keys.DecMode.Unmarshal(raw, &body); err != nil || len(body.Members)+len(body.Dead)+len(body.Rumours) > 3*maxMarks {
+	if err := keys.DecMode.Unmarshal(raw, &body); err != nil ||
+		len(body.Members)+len(body.Dead)+len(body.Rumours) > 3*maxFingerprints {
 		return nil, ErrMalformed
 	}
 	own, err := cd.verifyClaim(body.Own)
@@ -549,15 +562,16 @@
 
 // EncodeItems encodes items for a stream.
 func (cd *Codec) EncodeItems(i *gossip.Items) []byte {
-	body := itemsBody{Wants: i.MissingClaims, Lacks: i.MissingRumours, Alive: i.Reachable}
+	body := itemsBody{MissingClaims: i.MissingClaims, MissingRumours: i.MissingRumours, Reachable: i.Reachable}
 	for j := range i.Claims {
 		body.Claims = append(body.Claims, cd.encodeClaim(&i.Claims[j]))
 	}
 	for j := range i.Rumours {
-		body.Rumours = append(body.Rumours, agedRumour{Raw: cd.encodeRumour(&i.Rumours[j].Rumour), Age: i.Rumours[j].Age.Milliseconds()})
+		body.Rumours = append(body.Rumours, agedRumour{Raw: cd.encodeRumour(&i.Rumours[j].Rumour),
+			Age: i.Rumours[j].Age.Milliseconds()})
 	}
 	if i.ObservedAddr.IsValid() {
-		body.SeenAt, _ = i.ObservedAddr.MarshalBinary()
+		body.ObservedAddr, _ = i.ObservedAddr.MarshalBinary()
 	}
 	return marshal(&body)
 }
@@ -565,12 +579,13 @@
 // DecodeItems decodes items. Invalid ones are left out and their errors passed to dropped.
 func (cd *Codec) DecodeItems(raw []byte, dropped func(error)) (*gossip.Items, error) {
 	var body itemsBody
-	if err := keys.DecMode.Unmarshal(raw, &body); err != nil || len(body.Wants)+len(body.Lacks)+len(body.Alive) > 3*maxMarks ||
+	if err := keys.DecMode.Unmarshal(raw, &body); err != nil ||
+		len(body.MissingClaims)+len(body.MissingRumours)+len(body.Reachable) > 3*maxFingerprints ||
 		len(body.Claims)+len(body.Rumours) > 8*maxItems {
 		return nil, ErrMalformed
 	}
-	i := &gossip.Items{MissingClaims: body.Wants, MissingRumours: body.Lacks, Reachable: body.Alive}
-	if len(body.SeenAt) > 0 && i.ObservedAddr.UnmarshalBinary(body.SeenAt) != nil {
+	i := &gossip.Items{MissingClaims: body.MissingClaims, MissingRumours: body.MissingRumours, Reachable: body.Reachable}
+	if len(body.ObservedAddr) > 0 && i.ObservedAddr.UnmarshalBinary(body.ObservedAddr) != nil {
 		return nil, ErrMalformed
 	}
 	i.Claims, i.Rumours = cd.verifyItems(body.Claims, body.Rumours, dropped)
--- a/internal/gossip/wire/wire_test.go
+++ b/internal/gossip/wire/wire_test.go
@@ -68,14 +68,14 @@
 var testAddr = netip.MustParseAddrPort("10.1.2.3:7946")
 
 // aliveClaim returns a claim of the instance itself.
-func aliveClaim(b *Codec) gossip.Claim {
-	return gossip.Claim{Kind: gossip.Alive, Name: b.keyring.Certificate.Name, By: b.keyring.Certificate.Name, Key: b.ownKey, Run: b.runID, Incarnation: 7,
-		Addr: testAddr, Clock: 5 * time.Second}
+func aliveClaim(cd *Codec) gossip.Claim {
+	return gossip.Claim{Kind: gossip.Alive, Name: cd.keyring.Certificate.Name, By: cd.keyring.Certificate.Name,
+		Key: cd.ownKey, Run: cd.runID, Incarnation: 7, Addr: testAddr, Clock: 5 * time.Second}
 }
 
-func silentRumour(b *Codec, number uint32) gossip.Rumour {
-	return gossip.Rumour{Observer: b.keyring.Certificate.Name, Key: b.ownKey, Run: b.runID, Server: 1 << 63, Symptom: gossip.Silent, Strength: 255,
-		Number: number, Made: 99 * time.Hour}
+func silentRumour(cd *Codec, number uint32) gossip.Rumour {
+	return gossip.Rumour{Observer: cd.keyring.Certificate.Name, Key: cd.ownKey, Run: cd.runID, Server: 1 << 63,
+		Symptom: gossip.Silent, Strength: 255, Number: number, Made: 99 * time.Hour}
 }
 
 // failOnDrop returns a callback that fails the test for each dropped item.
--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -53,7 +53,8 @@
 	}
 	defer netConn.Close()
 	p.counts.ServerConns.Add(1)
-	c := &conn{pool: p, server: j.server, net: netConn, readBuffer: pgwire.ReadBuffer{MaxMessage: p.settings.MaxMessageBytes}}
+	c := &conn{pool: p, server: j.server, net: netConn,
+		readBuffer: pgwire.ReadBuffer{MaxMessage: p.settings.MaxMessageBytes}}
 	deadline, _ := ctx.Deadline()
 	netConn.SetDeadline(deadline)
 	if !p.attach(j, c) || !c.startup() {
@@ -61,13 +62,13 @@
 		return
 	}
 	for j != nil {
-		ended, reusable := c.execute(j)
+		result, reusable := c.execute(j)
 		if reusable {
 			c.release() // before the result is reported, as that may lead to the next job
 		} else {
 			netConn.Close() // before the result is reported, as the op may then be sent again and must not have two open sends
 		}
-		p.finish(j, ended)
+		p.finish(j, result)
 		if !reusable {
 			return
 		}
@@ -75,15 +76,15 @@
 	}
 }
 
-// connectFailed finishes a job for which no connection could be opened. The server is not at fault if the job's startBy
-// was earlier than its deadline and ended the attempt: then the result is NotSent.
+// connectFailed finishes a job for which no connection could be opened. The server is not at fault if the job's beginBy
+// was earlier than its deadline and ended the connecting: then the result is NotSent.
 func (p *Pool) connectFailed(j *job) {
 	p.counts.ServerRefused.Add(1)
-	ended := exchange.AttemptResult{Result: choice.NoConnection, Position: choice.LongPast}
-	if j.startBy < j.deadline && p.clock.Now() >= j.startBy {
-		ended.Result = choice.NotSent
+	result := exchange.AttemptResult{Result: choice.NoConnection, Position: choice.LongPast}
+	if j.beginBy < j.deadline && p.clock.Now() >= j.beginBy {
+		result.Result = choice.NotSent
 	}
-	p.finish(j, ended)
+	p.finish(j, result)
 }
 
 // attach records the connection of the job. It returns false if the job was cancelled in the meantime.
--- a/internal/serverside/pool.go
+++ b/internal/serverside/pool.go
@@ -66,8 +66,8 @@
 	server      uint32
 	submittedAt time.Duration
 
-	// startBy is the time before which the job has to start. Otherwise it is not executed.
-	startBy time.Duration
+	// beginBy is the time before which the job has to start. Otherwise it is not executed.
+	beginBy time.Duration
 
 	// deadline is the time before which the response has to arrive.
 	deadline time.Duration
@@ -90,8 +90,9 @@
 func New(ctx context.Context, clock exchange.Clock, events exchange.Events, counts *counters.Set,
 	settings *deployment.Settings, maxConns int) *Pool {
 	group, ctx := errgroup.WithContext(ctx)
-	return &Pool{clock: clock, events: events, counts: counts, settings: settings, maxConns: maxConns, quietPeriod: quietPeriod, ctx: ctx, group: group,
-		addrs: map[uint32]string{}, idle: map[uint32][]*conn{}, sends: map[*exchange.Exchange]*job{}, probes: map[uint32]*job{}}
+	return &Pool{clock: clock, events: events, counts: counts, settings: settings, maxConns: maxConns, quietPeriod: quietPeriod,
+		ctx: ctx, group: group, addrs: map[uint32]string{}, idle: map[uint32][]*conn{},
+		sends: map[*exchange.Exchange]*job{}, probes: map[uint32]*job{}}
 }
 
 // Wait waits for the end of the pool's context, closes all connections and returns when their goroutines have returned.
@@ -129,16 +130,16 @@
 	delete(p.addrs, server)
 }
 
-// Send submits a send. SendEnded reports its result. A send that has not started at the time startBy is never executed.
-func (p *Pool) Send(op *exchange.Exchange, number uint8, server uint32, startBy time.Duration) {
-	p.submit(&job{op: op, number: number, server: server, startBy: min(startBy, op.Deadline), deadline: op.Deadline})
+// Send submits a send. SendEnded reports its result. A send that has not started by beginBy is never executed.
+func (p *Pool) Send(op *exchange.Exchange, number uint8, server uint32, beginBy time.Duration) {
+	p.submit(&job{op: op, number: number, server: server, beginBy: min(beginBy, op.Deadline), deadline: op.Deadline})
 }
 
 // Probe submits a probe. ProbeEnded reports its result.
 func (p *Pool) Probe(server uint32) {
 	p.counts.Probes.Add(1)
 	deadline := p.clock.Now() + p.settings.ConnectTimeout
-	p.submit(&job{server: server, startBy: deadline, deadline: deadline})
+	p.submit(&job{server: server, beginBy: deadline, deadline: deadline})
 }
 
 func (p *Pool) submit(j *job) {
@@ -162,7 +163,7 @@
 		c.net.SetReadDeadline(exchange.Past) // wakes the goroutine that watches the idle connection
 		return
 	}
-	ctx, cancel := context.WithDeadline(p.ctx, p.clock.Time(min(j.submittedAt+p.settings.ConnectTimeout, j.startBy)))
+	ctx, cancel := context.WithDeadline(p.ctx, p.clock.Time(min(j.submittedAt+p.settings.ConnectTimeout, j.beginBy)))
 	j.cancelConnect = cancel
 	addr := p.addrs[j.server]
 	canConnect := addr != "" && (p.openConns < p.maxConns || p.evictIdle())
@@ -272,14 +273,14 @@
 }
 
 // finish reports the result of a job. It is called exactly once for each job.
-func (p *Pool) finish(j *job, ended exchange.AttemptResult) {
-	ended.Took = p.clock.Now() - j.submittedAt
+func (p *Pool) finish(j *job, result exchange.AttemptResult) {
+	result.Took = p.clock.Now() - j.submittedAt
 	p.mu.Lock()
 	switch {
 	case j.cancelled && !j.started:
-		ended.Result = choice.NotSent
-	case j.cancelled && ended.Result != choice.Acked:
-		ended.Result = choice.Cancelled
+		result.Result = choice.NotSent
+	case j.cancelled && result.Result != choice.Acked:
+		result.Result = choice.Cancelled
 	}
 	if j.op != nil {
 		delete(p.sends, j.op)
@@ -288,14 +289,14 @@
 	}
 	p.mu.Unlock()
 	if j.op != nil {
-		p.counts.SendEnds[ended.Result].Add(1)
-		p.events.SendEnded(j.op, j.number, j.server, ended)
+		p.counts.SendEnds[result.Result].Add(1)
+		p.events.SendEnded(j.op, j.number, j.server, result)
 		return
 	}
-	if ended.Result == choice.Acked {
+	if result.Result == choice.Acked {
 		p.counts.ProbesAcked.Add(1)
 	}
-	p.events.ProbeEnded(j.server, ended)
+	p.events.ProbeEnded(j.server, result)
 }
 
 // dialer disables TCP keep-alive.
--- a/internal/serverside/receive.go
+++ b/internal/serverside/receive.go
@@ -50,7 +50,7 @@
 
 // receive reads the response to a query that was written completely, up to ReadyForQuery. The server's role and position
 // arrive just before that. The connection is reusable if ReadyForQuery was read.
-func (c *conn) receive(j *job) (ended exchange.AttemptResult, reusable bool) {
+func (c *conn) receive(j *job) (result exchange.AttemptResult, reusable bool) {
 	a := answer{AttemptResult: exchange.AttemptResult{Position: choice.LongPast}}
 	var err error
 	for err == nil {
@@ -67,7 +67,8 @@
 	default:
 		a.Result = choice.Reset
 	}
-	return exchange.AttemptResult{Result: a.Result, Position: choice.LongPast}, false // the rest of a broken response is not trusted
+	// The rest of a broken response is not trusted.
+	return exchange.AttemptResult{Result: a.Result, Position: choice.LongPast}, false
 }
 
 // processMessage processes one message of a response. It returns errReady at the end of the response.
--- a/internal/serverside/send.go
+++ b/internal/serverside/send.go
@@ -10,7 +10,7 @@
 )
 
 // execute executes one job. The connection must not be used again unless it is reusable.
-func (c *conn) execute(j *job) (ended exchange.AttemptResult, reusable bool) {
+func (c *conn) execute(j *job) (result exchange.AttemptResult, reusable bool) {
 	p := c.pool
 	if !c.startJob(j) {
 		return exchange.AttemptResult{Result: choice.NotSent, Position: choice.LongPast}, true
@@ -24,18 +24,18 @@
 	if j.op != nil {
 		p.counts.Sent.Add(1)
 	}
-	if ended, reusable = c.receive(j); !reusable {
+	if result, reusable = c.receive(j); !reusable {
 		p.counts.ServerBroken.Add(1)
 	}
-	return ended, reusable
+	return result, reusable
 }
 
 // startJob marks the job as started and applies its deadline to the connection. It returns false if the job was
-// cancelled, its op has ended or its startBy has passed.
+// cancelled, its op has ended or its beginBy has passed.
 func (c *conn) startJob(j *job) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if j.cancelled || j.op != nil && j.op.IsDone() || c.pool.clock.Now() >= j.startBy {
+	if j.cancelled || j.op != nil && j.op.IsDone() || c.pool.clock.Now() >= j.beginBy {
 		return false
 	}
 	j.started = true
--- a/internal/serverside/serverside_test.go
+++ b/internal/serverside/serverside_test.go
@@ -431,7 +431,7 @@
 }
 
 // Between the decision to send and the first byte a connection has to be opened. Each case stops in the middle of that
-// while the server is announced as leaving, the client disconnects or startBy passes. Then nothing is written, and the
+// while the server is announced as leaving, the client disconnects or beginBy passes. Then nothing is written, and the
 // result NotSent means that the op did not run.
 func TestJobsThatHaveNotStartedAreNotExecuted(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -450,14 +450,14 @@
 			p, ended := newPool(t, 8, &standin.Database{Comes: func() { arrived <- struct{}{}; <-proceed },
 				Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
 			p.settings.ConnectTimeout = 10 * time.Second
-			op, startBy := newOp(t), p.testDeadline()
-			if op.Deadline = startBy; name == "too late" {
-				startBy = p.clock.Now() + 30*time.Millisecond
+			op, beginBy := newOp(t), p.testDeadline()
+			if op.Deadline = beginBy; name == "too late" {
+				beginBy = p.clock.Now() + 30*time.Millisecond
 			}
 			if c.probe {
 				p.Probe(testServer)
 			} else {
-				p.Send(op, 0, testServer, startBy)
+				p.Send(op, 0, testServer, beginBy)
 			}
 			<-arrived
 			c.action(p, op)
@@ -507,7 +507,7 @@
 	late.Deadline = p.testDeadline()
 	p.Send(late, 0, testServer, p.clock.Now())
 	if r := ended.wait(t); r.Result != choice.NotSent {
-		t.Errorf("a send after its startBy: got %+v, want result NotSent", r)
+		t.Errorf("a send after its beginBy: got %+v, want result NotSent", r)
 	}
 	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.Acked || p.counts.ServerConns.Load() != 1 || p.counts.Sent.Load() != 2 {
@@ -528,7 +528,7 @@
 	serverEnd.Close()
 	c := &conn{pool: p, server: testServer, net: clientEnd}
 	c.readBuffer.Filled(copy(c.readBuffer.Space(), "unread"))
-	if !standin.Breaks(func() { c.execute(&job{startBy: p.testDeadline(), deadline: p.testDeadline()}) }) {
+	if !standin.Breaks(func() { c.execute(&job{beginBy: p.testDeadline(), deadline: p.testDeadline()}) }) {
 		t.Error("a connection with unread bytes breaks no invariant")
 	}
 }
