--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -462,7 +462,7 @@
 
 // Slow machines, busy neighbours and bursts of ops all show as late answers, which reduce the server's limit once per
 // answer time.
-func TestLateAnswersShrinkTheLimitOncePerRound(t *testing.T) {
+func TestLateAnswersReduceLimitOncePerAnswerTime(t *testing.T) {
 	g, _ := newTestGateway(nil)
 	s := g.servers[2]
 	assess(g, 200*ms, s, Acked, 150*ms)
--- a/internal/clientside/clientside_test.go
+++ b/internal/clientside/clientside_test.go
@@ -270,7 +270,7 @@
 
 // A command may be read long after it was sent, when the client has already disconnected. Such a command is not
 // submitted.
-func TestCommandOfDisconnectedClientIsNotTaken(t *testing.T) {
+func TestCommandOfDisconnectedClientIsNotSubmitted(t *testing.T) {
 	t.Parallel()
 	_, d, addr, _ := startAcceptor(t, 8, ack)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -55,7 +55,7 @@
 // would work only on abandoned calls and no gateway would ever get a list. So the timeout of a call that may be queued
 // is longer than 2 s.
 const (
-	openingWatchWait = 10 * time.Millisecond       // wait of the first call of a watch; the next one continues it without queueing
+	openingWatchWait = 10 * time.Millisecond       // wait of the first call of a watch; the next is not queued
 	maxWatchWait     = MaxPropagationDelay * 2 / 5 // longest wait of a later call of a watch
 	watchWaitJitter  = MaxPropagationDelay / 10    // a random part of this is subtracted from maxWatchWait
 	watchAnswerGrace = MaxPropagationDelay / 6     // time after the end of its wait in which such a call has to be answered
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -33,15 +33,15 @@
 // listQueue is a ListHandler that queues the lists.
 type listQueue chan handledList
 
-func (c listQueue) HandleList(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
-	c <- handledList{scope, listed, addrs}
+func (q listQueue) HandleList(scope choice.ListScope, listed []choice.Listed, addrs map[uint32]string) {
+	q <- handledList{scope, listed, addrs}
 }
 
 // next returns the next list and fails the test if none comes.
-func (c listQueue) next(t *testing.T) handledList {
+func (q listQueue) next(t *testing.T) handledList {
 	t.Helper()
 	select {
-	case l := <-c:
+	case l := <-q:
 		return l
 	case <-time.After(10 * time.Second):
 		t.Fatal("got no list within 10s")
@@ -151,8 +151,8 @@
 // recordingTransport records the requests of a client and answers none of them.
 type recordingTransport chan *http.Request
 
-func (c recordingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	c <- r
+func (t recordingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	t <- r
 	return nil, errors.New("no answer")
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -327,7 +327,7 @@
 	OwnName            int64 // datagrams dropped as sent under this instance's name, and times that another run took the name
 	StaleClaims        int64 // claims dropped as not newer than the one held, or as made by another than the member
 	FutureClaims       int64 // not used; always 0
-	ClaimsFull         int64 // claims dropped for lack of room, as under a key in use by another name, or as Left of unknown members
+	ClaimsFull         int64 // claims dropped for lack of room, under a key in use by another name, or as Left of unknown members
 	Accusations        int64 // accusations received
 	AccusationsIgnored int64 // accusations received that had no effect
 	Refutations        int64 // accusations against this instance that it refuted
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -102,7 +102,7 @@
 
 // Upper bounds on encoded sizes in bytes. A test of the codec checks them.
 const (
-	maxDatagramOverheadBytes = 28 + 140 // headers of IP and UDP; then own header, both authentications, message without items
+	maxDatagramOverheadBytes = 28 + 140 // IP and UDP headers; own header, both authentications and message without items
 	maxClaimBytes            = 245      // with the signer's certificate, without the names
 	maxAccusationBytes       = 120      // without the name
 	maxRumourBytes           = 125
--- a/internal/serverside/connect.go
+++ b/internal/serverside/connect.go
@@ -77,7 +77,7 @@
 }
 
 // connectFailed finishes a job for which no connection could be opened. The server is not at fault if the job's beginBy
-// was earlier than its deadline and ended the connecting: then the result is NotSent.
+// was earlier than its deadline and ended the connection attempt: then the result is NotSent.
 func (p *Pool) connectFailed(j *job) {
 	p.counts.ServerRefused.Add(1)
 	result := exchange.AttemptResult{Result: choice.NoConnection, Position: choice.LongPast}
--- a/internal/serverside/serverside_test.go
+++ b/internal/serverside/serverside_test.go
@@ -76,10 +76,10 @@
 	return &exchange.Exchange{Statement: s, Done: make(chan struct{})}
 }
 
-// sendUntil submits a send for an op whose client waits until the time due.
-func (p *Pool) sendUntil(op *exchange.Exchange, number uint8, server uint32, due time.Duration) {
-	op.Deadline = due
-	p.Send(op, number, server, due)
+// sendUntil submits a send for an op whose client waits until the deadline.
+func (p *Pool) sendUntil(op *exchange.Exchange, number uint8, server uint32, deadline time.Duration) {
+	op.Deadline = deadline
+	p.Send(op, number, server, deadline)
 }
 
 // testDeadline returns a time that no test reaches.
