--- a/choice/choice.go
+++ b/choice/choice.go
@@ -681,6 +681,8 @@
 // The position is also the time as of which the report speaks. A report of being a replica counts as of its arrival,
 // however, if servers do not check reads themselves: rule 5, no data older than the op type allows, then rests on the
 // gateway knowing who is not the primary.
+//
+// Reports may be seconds old. So the lag is reduced by twice their mean age, as otherwise every replica would look stale.
 func (g *Gateway) Report(now time.Duration, id uint32, role Role, pos time.Duration) {
 	if s := g.servers[id]; s != nil && (pos == LongPast || role == Replica && !g.replicasCheck) {
 		g.updateRoleAndPosition(now, s, role, pos, now)
--- a/internal/clientside/accept.go
+++ b/internal/clientside/accept.go
@@ -236,8 +236,8 @@
 
 // ensureCapacity reports whether at most maxConns connections stay open once those being evicted are closed. If not, it
 // evicts the connections that have been quiet for longest, among those without pending replies that have been idle for
-// idleTimeout or have sent no command for firstBytesWait. So clients that keep an unused connection, or connect and send
-// nothing, do not keep out those that send commands. The connection requester, which may be nil, is not evicted.
+// idleTimeout or have sent no command for firstBytesWait. So clients that keep an unused connection, or connect and
+// send nothing, do not keep out those that send commands. The connection requester, which may be nil, is not evicted.
 func (a *Acceptor) ensureCapacity(requester *conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -71,7 +71,8 @@
 }
 
 // awaitQueueSpace pauses reading while maxPendingCommands commands wait for their replies. Meanwhile it notices if the
-// client disconnects. Commands that are already in the read buffer are processed afterwards, even during a planned stop.
+// client disconnects. Commands that are already in the read buffer are processed afterwards, even during a planned
+// stop.
 func (c *conn) awaitQueueSpace() error {
 	for c.pendingCommands.Load() >= maxPendingCommands {
 		c.mu.Lock()
@@ -190,8 +191,8 @@
 	}
 }
 
-// maxFastDiscard is how many bytes after rejected input are discarded as fast as they arrive. Beyond that, discarding is
-// slowed down.
+// maxFastDiscard is how many bytes after rejected input are discarded as fast as they arrive. Beyond that, discarding
+// is slowed down.
 const maxFastDiscard = 1 << 20
 
 // awaitReplies waits until all pending replies are written and then returns the reason. It returns errClientGone if the
--- a/internal/gossip/credit.go
+++ b/internal/gossip/credit.go
@@ -6,8 +6,8 @@
 )
 
 // Parameters of an observer's credit: the mean of a beta distribution whose prior mean is one in three, in which one
-// contradiction counts as much as three confirmations. Both counts decay, so that the credit returns to the prior and an
-// observer that has lied recovers slowly.
+// contradiction counts as much as three confirmations. Both counts decay, so that the credit returns to the prior and
+// an observer that has lied recovers slowly.
 const (
 	priorConfirmations  = 1.0
 	priorContradictions = 2.0
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,13 +1,13 @@
-// Package gossip implements membership and shared suspicion between gateway instances, in the manner of SWIM and Lifeguard.
-// For one instance it decides which others are alive and how much weight their rumours about servers carry.
+// Package gossip implements membership and shared suspicion between gateway instances, in the manner of SWIM and
+// Lifeguard. For one instance it decides which others are alive and how much weight their rumours about servers carry.
 //
-// The package does no I/O, reads no clock and starts no goroutine: a carrier calls one method for each event, with the time
-// since the instance's start, and the node acts through its Host. The emulator calls the same methods in virtual time. The
-// carrier authenticates everything before it reaches the node.
+// The package does no I/O, reads no clock and starts no goroutine: a carrier calls one method for each event, with the
+// time since the instance's start, and the node acts through its Host. The emulator calls the same methods in virtual
+// time. The carrier authenticates everything before it reaches the node.
 //
-// Reports of others never decide on their own. An accusation makes this instance probe the accused member. A rumour about a
-// server is weighed by how often its observer has been confirmed here; the total goes to the decision module, which may
-// probe the server sooner because of it but must not act on it alone. docs/gossip.md gives the reasons.
+// Reports of others never decide on their own. An accusation makes this instance probe the accused member. A rumour
+// about a server is weighed by how often its observer has been confirmed here; the total goes to the decision module,
+// which may probe the server sooner because of it but must not act on it alone. docs/gossip.md gives the reasons.
 package gossip
 
 import (
@@ -27,8 +27,8 @@
 	Exchange(with netip.AddrPort, d *Digest)
 	// Wake requests a call of Timer at a time. A later call replaces an earlier one.
 	Wake(at time.Duration)
-	// WeightChanged reports the new sum of the weights of the observers that say that a server is in trouble; 0 means that
-	// none does any more.
+	// WeightChanged reports the new sum of the weights of the observers that say that a server is in trouble; 0 means
+	// that none does any more.
 	WeightChanged(server uint64, weight float64)
 	// Log reports an event that an operator wants to know of. It is called rarely.
 	Log(event, name string)
@@ -202,8 +202,8 @@
 }
 
 // detectPause detects that the node itself has been paused. Probes that went unanswered meanwhile are then no evidence
-// against others, so they are discarded and suspicions are extended by the pause. Accusations that others made meanwhile
-// are for this instance to refute.
+// against others, so they are discarded and suspicions are extended by the pause. Accusations that others made
+// meanwhile are for this instance to refute.
 func (n *Node) detectPause(now time.Duration) {
 	gap := now - n.lastActiveAt
 	if n.wakeAt > 0 {
@@ -223,8 +223,8 @@
 	n.lastActiveAt = now
 }
 
-// adjustHealthScore makes the node slower to judge others, or faster again: an instance that sees many failures is likely
-// to be the faulty one.
+// adjustHealthScore makes the node slower to judge others, or faster again: an instance that sees many failures is
+// likely to be the faulty one.
 func (n *Node) adjustHealthScore(delta int) {
 	n.healthScore = max(0, min(maxHealthScore, n.healthScore+delta))
 }
@@ -255,7 +255,8 @@
 	}
 }
 
-// Expelled is called when the certificate of a key no longer counts. It removes the member with that key and its rumours.
+// Expelled is called when the certificate of a key no longer counts. It removes the member with that key and its
+// rumours.
 func (n *Node) Expelled(now time.Duration, key KeyID) {
 	if m := n.byKey[key]; m != nil {
 		n.counts.Expelled++
@@ -280,8 +281,8 @@
 	return 0
 }
 
-// SetServerCount sets how many servers the decision module knows of. An instance that finds most of them in trouble does
-// not announce it.
+// SetServerCount sets how many servers the decision module knows of. An instance that finds most of them in trouble
+// does not announce it.
 func (n *Node) SetServerCount(now time.Duration, count int) { n.serverCount = count }
 
 // randomMembers draws up to count distinct members for which fits returns true.
@@ -289,7 +290,8 @@
 	if len(n.members) == 0 {
 		return nil
 	}
-	// In a long list a few random draws suffice. Otherwise, or if they don't, a walk from a random index finds the rest.
+	// In a long list a few random draws suffice. Otherwise, or if they don't, a walk from a random index finds the
+	// rest.
 	start := n.rng.IntN(len(n.members))
 	if len(n.members) > 4*count {
 		for range 3 * count {
@@ -315,8 +317,8 @@
 	return false
 }
 
-// Counts holds what a node has counted since its start. The carrier derives names in the log from the names and the order
-// of its fields.
+// Counts holds what a node has counted since its start. The carrier derives names in the log from the names and the
+// order of its fields.
 type Counts struct {
 	Sent               int64 // datagrams sent
 	SentBytes          int64 // bytes sent in datagrams and anti-entropy exchanges
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -61,8 +61,8 @@
 	at   time.Duration // when the accusation arrived
 }
 
-// replayWindow records which datagrams of a run have been received: the highest counter, and the 64 counters up to it as a
-// bit mask.
+// replayWindow records which datagrams of a run have been received: the highest counter, and the 64 counters up to it
+// as a bit mask.
 type replayWindow struct {
 	highest uint64
 	mask    uint64
@@ -91,8 +91,9 @@
 // clock returns a lower bound of what the member's own clock shows now.
 func (m *member) clock(now time.Duration) time.Duration { return now + m.clockOffset }
 
-// Received handles a datagram. One that isn't from the known run of a member, or that has been received before, is dropped
-// before it can change anything. Claims of the sender about itself are handled first, as they may announce its run.
+// Received handles a datagram. One that isn't from the known run of a member, or that has been received before, is
+// dropped before it can change anything. Claims of the sender about itself are handled first, as they may announce its
+// run.
 func (n *Node) Received(now time.Duration, d Datagram) {
 	n.detectPause(now)
 	if n.inactive && n.own.Kind == Left {
@@ -115,7 +116,8 @@
 			n.counts.Strange++
 			return
 		} else if m.run != d.Run {
-			// Either an old datagram, or a new run that doesn't know the incarnation that the run before it had reached.
+			// Either an old datagram, or a new run that doesn't know the incarnation that the run before it had
+			// reached.
 			n.counts.StaleRun++
 			if m.staleRunNotifiedAt == 0 || now-m.staleRunNotifiedAt >= n.config.ProbeEvery {
 				m.staleRunNotifiedAt = now
@@ -140,8 +142,8 @@
 	n.scheduleWake(now)
 }
 
-// heardFrom records that a member has just proved to be alive, with its clock. The offset of that clock only ever grows, so
-// that a message that is delayed or replayed makes nothing look younger.
+// heardFrom records that a member has just proved to be alive, with its clock. The offset of that clock only ever
+// grows, so that a message that is delayed or replayed makes nothing look younger.
 func (n *Node) heardFrom(now time.Duration, m *member, clock time.Duration) {
 	if ahead := clock - now; !m.clockKnown || ahead > m.clockOffset {
 		m.clockOffset, m.clockKnown = ahead, true
@@ -266,8 +268,8 @@
 	n.queueUpdate(now, update{claim: *c, subject: m.name})
 }
 
-// supersedes reports whether a claim of a member replaces the one held. Runs that took the same incarnation are ordered by
-// their run number, so that all instances agree in the end.
+// supersedes reports whether a claim of a member replaces the one held. Runs that took the same incarnation are ordered
+// by their run number, so that all instances agree in the end.
 func supersedes(c, held *Claim) bool {
 	if c.Incarnation != held.Incarnation {
 		return c.Incarnation > held.Incarnation
@@ -275,8 +277,8 @@
 	return c.Run != held.Run && c.Run > held.Run || c.Run == held.Run && c.Kind == Left && held.Kind == Alive
 }
 
-// handleFreshClaim takes a claim of a member about itself as proof that it is alive, if the claim was made after the event
-// that casts doubt on it.
+// handleFreshClaim takes a claim of a member about itself as proof that it is alive, if the claim was made after the
+// event that casts doubt on it.
 func (n *Node) handleFreshClaim(now time.Duration, m *member, c *Claim) {
 	made := min(now, c.Clock-m.clockOffset) // by this instance's clock
 	if m.claim.Run == c.Run && c.Clock > m.claim.Clock {
@@ -290,8 +292,8 @@
 	}
 }
 
-// makeRoomForMember makes room for one more member and reports whether there is any. It removes the member that has been
-// dead or left for longest; members that are alive or suspect are never displaced by new ones.
+// makeRoomForMember makes room for one more member and reports whether there is any. It removes the member that has
+// been dead or left for longest; members that are alive or suspect are never displaced by new ones.
 func (n *Node) makeRoomForMember(now time.Duration) bool {
 	if len(n.members) < n.config.Members-1 {
 		return true
@@ -355,8 +357,8 @@
 			pending++
 		}
 	}
-	// An accused member that has been heard from since the accusation was made is alive. The accusation need not be false,
-	// as the member may have been unreachable before.
+	// An accused member that has been heard from since the accusation was made is alive. The accusation need not be
+	// false, as the member may have been unreachable before.
 	if by.falseAccusationsNow(now) >= maxFalseAccusations || len(m.accusedBy) >= maxAccusers || pending >= maxAccusedByOne ||
 		m.lastHeardAt > now-(by.clock(now)-c.Clock) {
 		n.counts.AccusationsIgnored++
@@ -375,8 +377,8 @@
 	return slices.ContainsFunc(m.accusedBy, func(a accuser) bool { return a.name == name })
 }
 
-// handleProbeFailure judges a member after a probe that got no answer: an alive member becomes suspect, and a suspect one
-// dead once its suspicion has run out and at least two probes in a row have failed.
+// handleProbeFailure judges a member after a probe that got no answer: an alive member becomes suspect, and a suspect
+// one dead once its suspicion has run out and at least two probes in a row have failed.
 func (n *Node) handleProbeFailure(now time.Duration, m *member) {
 	m.failedProbes++
 	switch m.state {
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -48,7 +48,8 @@
 	return [...]string{"well", "silent", "unreachable", "failing", "late"}[min(s, Late)]
 }
 
-// Rumour is a signed statement of one observer about one server. For each observer and server the highest number counts.
+// Rumour is a signed statement of one observer about one server. For each observer and server the highest number
+// counts.
 type Rumour struct {
 	Observer string // name of the signer
 	Key      KeyID  // of the observer
@@ -91,7 +92,8 @@
 	Rumours    []RelayedRumour
 }
 
-// Datagram is a message as received. Its sender is authenticated, and everything in it is signed by those that it names.
+// Datagram is a message as received. Its sender is authenticated, and everything in it is signed by those that it
+// names.
 type Datagram struct {
 	From    string
 	Key     KeyID
@@ -132,12 +134,12 @@
 	return n
 }
 
-// Fingerprint stands for a claim, a rumour or a name in a digest: a hash of what identifies it. Collisions are rare, and
-// cost no more than that one of the two is missed until the next exchange with another instance.
+// Fingerprint stands for a claim, a rumour or a name in a digest: a hash of what identifies it. Collisions are rare,
+// and cost no more than that one of the two is missed until the next exchange with another instance.
 type Fingerprint uint32
 
-// Digest summarizes what an instance holds. The receiver compares it with what it holds itself, so that each side can be
-// sent what it missed.
+// Digest summarizes what an instance holds. The receiver compares it with what it holds itself, so that each side can
+// be sent what it missed.
 type Digest struct {
 	Own     Claim         // of the sender about itself
 	Members []Fingerprint // of each member's newest claim
@@ -151,8 +153,8 @@
 	Rumours        []RelayedRumour
 	MissingClaims  []Fingerprint // of claims that the receiver holds and the sender lacks
 	MissingRumours []Fingerprint // of rumours that the receiver holds and the sender lacks
-	// Of the names of members that the sender holds alive and the receiver dead, and of the receiver's own name if another
-	// run holds it at the sender.
+	// Of the names of members that the sender holds alive and the receiver dead, and of the receiver's own name if
+	// another run holds it at the sender.
 	Reachable    []Fingerprint
 	ObservedAddr netip.Addr // address from which the receiver's request came
 }
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// nextTarget returns the next member to probe. Each member comes once per pass, in an order that is shuffled for each pass.
-// Dead members are probed now and then, because each side of a partition holds the other side dead.
+// nextTarget returns the next member to probe. Each member comes once per pass, in an order that is shuffled for each
+// pass. Dead members are probed now and then, because each side of a partition holds the other side dead.
 func (n *Node) nextTarget(now time.Duration) *member {
 	for tries := len(n.members) + 1; tries > 0; tries-- {
 		if len(n.probeOrder) == 0 {
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// deadProbeInterval returns the time between probes of a dead member. It grows with the number of members, as among many
-// instances one of them still probes each dead member every few rounds.
+// deadProbeInterval returns the time between probes of a dead member. It grows with the number of members, as among
+// many instances one of them still probes each dead member every few rounds.
 func (n *Node) deadProbeInterval() time.Duration {
 	return n.config.ProbeEvery * time.Duration(10+len(n.members)/10)
 }
@@ -112,8 +112,8 @@
 	n.send(now, m, n.withUpdates(now, m, &Message{Kind: Ping, Number: p.number}))
 }
 
-// processTimeouts asks helpers for indirect pings where a probe has timed out, judges probes that have failed, and sends the
-// Nacks that are due for relayed pings.
+// processTimeouts asks helpers for indirect pings where a probe has timed out, judges probes that have failed, and
+// sends the Nacks that are due for relayed pings.
 func (n *Node) processTimeouts(now time.Duration) {
 	var failed []*probe
 	n.probes = slices.DeleteFunc(n.probes, func(p *probe) bool {
--- a/internal/gossip/rumour.go
+++ b/internal/gossip/rumour.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// entry is a rumour that is held. A withdrawal is held too until it expires; otherwise the rumour that it withdraws could
-// arrive later by another path and be accepted.
+// entry is a rumour that is held. A withdrawal is held too until it expires; otherwise the rumour that it withdraws
+// could arrive later by another path and be accepted.
 type entry struct {
 	Rumour
 	observer       *member // nil for a rumour of this instance
@@ -131,9 +131,9 @@
 	n.updateWeight(now, r.Server)
 }
 
-// allowRumour limits the rate of an observer's rumours by a leaky bucket and reports whether one more is allowed. The bucket's
-// capacity is share, which depends on the observer's credit, and it drains fully within the life of a rumour. So an observer
-// that lies soon takes little of the common capacity.
+// allowRumour limits the rate of an observer's rumours by a leaky bucket and reports whether one more is allowed. The
+// bucket's capacity is share, which depends on the observer's credit, and it drains fully within the life of a rumour.
+// So an observer that lies soon takes little of the common capacity.
 func (m *member) allowRumour(now time.Duration, share float64, life time.Duration) bool {
 	m.rumourLevel = max(0, m.rumourLevel-float64(now-m.rumourLevelAt)/float64(life)*share)
 	m.rumourLevelAt = now
@@ -144,9 +144,9 @@
 	return true
 }
 
-// makeRoom makes room for a rumour and reports whether there is any. The rumours of one observer and the observers of one
-// server are bounded; of those the one with the least credit gives way to one with more. If the whole table is full, the
-// observer with the most rumours loses its oldest one, so that an observer that sends many displaces its own.
+// makeRoom makes room for a rumour and reports whether there is any. The rumours of one observer and the observers of
+// one server are bounded; of those the one with the least credit gives way to one with more. If the whole table is
+// full, the observer with the most rumours loses its oldest one, so that an observer that sends many displaces its own.
 func (t *rumourTable) makeRoom(n *Node, now time.Duration, e *entry) bool {
 	if held := t.byObserver[e.Observer]; len(held) >= n.config.RumoursPerObserver {
 		t.remove(n, held[0])
@@ -239,8 +239,8 @@
 	}
 }
 
-// totalWeight returns the sum over the other observers that say that the server is in trouble, each counted by its credit
-// and the strength of its rumour.
+// totalWeight returns the sum over the other observers that say that the server is in trouble, each counted by its
+// credit and the strength of its rumour.
 func (s *server) totalWeight(now time.Duration) (sum float64) {
 	for _, e := range s.entries {
 		if e.observer != nil && e.Symptom != Well {
@@ -250,8 +250,8 @@
 	return sum
 }
 
-// sweep removes expired rumours and members that have been gone for long, and announces this instance's own symptoms that
-// are due.
+// sweep removes expired rumours and members that have been gone for long, and announces this instance's own symptoms
+// that are due.
 func (n *Node) sweep(now time.Duration) {
 	for _, s := range slices.Clone(n.serverOrder) {
 		for _, e := range slices.Clone(s.entries) {
@@ -274,8 +274,8 @@
 	}
 }
 
-// ReportSymptom is called whenever this instance has itself observed a server in trouble. It must never be called because of
-// rumours, as rumours would then cause further rumours.
+// ReportSymptom is called whenever this instance has itself observed a server in trouble. It must never be called
+// because of rumours, as rumours would then cause further rumours.
 func (n *Node) ReportSymptom(now time.Duration, id uint64, symptom Symptom, strength uint8) {
 	n.detectPause(now)
 	if symptom == Well {
@@ -299,8 +299,8 @@
 	n.scheduleWake(now)
 }
 
-// Recovered is called when this instance's own trouble with a server has ended. It withdraws the rumour about it, if one
-// was announced.
+// Recovered is called when this instance's own trouble with a server has ended. It withdraws the rumour about it, if
+// one was announced.
 func (n *Node) Recovered(now time.Duration, id uint64) {
 	n.detectPause(now)
 	s := n.serversByID[id]
@@ -317,8 +317,8 @@
 	n.scheduleWake(now)
 }
 
-// Acked is called when a server has acked in time an op sent at sentAt. That contradicts the rumours about the server that
-// arrived by then, and counts more against those that say that the server does not work at all.
+// Acked is called when a server has acked in time an op sent at sentAt. That contradicts the rumours about the server
+// that arrived by then, and counts more against those that say that the server does not work at all.
 func (n *Node) Acked(now time.Duration, id uint64, sentAt time.Duration) {
 	s := n.serversByID[id]
 	if s == nil {
@@ -344,8 +344,8 @@
 	}
 }
 
-// announceIfDue announces this instance's own symptom of a server by a rumour, unless the rumours of others suffice or this
-// instance has reason to suspect itself. It renews a rumour after half of its life.
+// announceIfDue announces this instance's own symptom of a server by a rumour, unless the rumours of others suffice or
+// this instance has reason to suspect itself. It renews a rumour after half of its life.
 func (n *Node) announceIfDue(now time.Duration, s *server) {
 	if !n.joined || n.inactive || n.healthScore >= maxHealthScore/2 {
 		return
--- a/internal/gossip/sim_test.go
+++ b/internal/gossip/sim_test.go
@@ -110,8 +110,8 @@
 	net.now = until
 }
 
-// scheduleHere schedules an event at the instance. The event waits for the end of a pause and is dropped if the run has ended
-// by then.
+// scheduleHere schedules an event at the instance. The event waits for the end of a pause and is dropped if the run has
+// ended by then.
 func (h *simNode) scheduleHere(after time.Duration, do func()) {
 	n := h.Node
 	var try func()
--- a/internal/gossip/spread.go
+++ b/internal/gossip/spread.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// update is a claim, or a rumour where that is set, that is being disseminated. It is sent a bounded number of times. Updates
-// sent fewer times go first, and the newest of those.
+// update is a claim, or a rumour where that is set, that is being disseminated. It is sent a bounded number of times.
+// Updates sent fewer times go first, and the newest of those.
 type update struct {
 	claim         Claim
 	rumour        *entry
@@ -16,10 +16,10 @@
 	queuedAt      time.Duration
 }
 
-// done reports whether the update has been sent often enough. When each receiver sends it to k others drawn at random, about
-// one instance in e^k receives nothing, however many instances there are. A rumour about a server has to reach nearly all of
-// them within a second or two. Claims are long, and an instance that misses one receives it in its next anti-entropy
-// exchange, so they are sent fewer times.
+// done reports whether the update has been sent often enough. When each receiver sends it to k others drawn at random,
+// about one instance in e^k receives nothing, however many instances there are. A rumour about a server has to reach
+// nearly all of them within a second or two. Claims are long, and an instance that misses one receives it in its next
+// anti-entropy exchange, so they are sent fewer times.
 func (u *update) done() bool {
 	return u.transmissions >= rumourTransmissions || u.rumour == nil && u.transmissions >= claimTransmissions
 }
@@ -55,7 +55,8 @@
 	n.updates = slices.DeleteFunc(n.updates, func(u *update) bool { return u.rumour == e })
 }
 
-// sendUpdates runs one gossip round: it sends updates to some members drawn at random, as far as the byte budget allows.
+// sendUpdates runs one gossip round: it sends updates to some members drawn at random, as far as the byte budget
+// allows.
 func (n *Node) sendUpdates(now time.Duration) {
 	n.nextTell = now + n.config.TellEvery
 	if len(n.updates) == 0 || n.inactive || !n.joined {
@@ -73,9 +74,9 @@
 	}
 }
 
-// withUpdates adds to a message as many updates as fit into a datagram and returns the message. A probe or an answer to a
-// member that may not know this instance also carries this instance's claim about itself. Gossip doesn't, because no answer
-// to it would show whether the claim has arrived.
+// withUpdates adds to a message as many updates as fit into a datagram and returns the message. A probe or an answer to
+// a member that may not know this instance also carries this instance's claim about itself. Gossip doesn't, because no
+// answer to it would show whether the claim has arrived.
 func (n *Node) withUpdates(now time.Duration, to *member, msg *Message) *Message {
 	if msg.Kind != Tell && !to.knowsUs &&
 		!slices.ContainsFunc(msg.Claims, func(c Claim) bool { return c.Name == n.config.Name }) {
@@ -126,8 +127,8 @@
 	}
 }
 
-// send passes a datagram to the host and charges it to the byte budget. Probes and answers are sent even if the budget is
-// used up: they are few, and a silent instance would be held dead.
+// send passes a datagram to the host and charges it to the byte budget. Probes and answers are sent even if the budget
+// is used up: they are few, and a silent instance would be held dead.
 func (n *Node) send(now time.Duration, m *member, msg *Message) {
 	msg.Clock = now
 	n.charge(now, msg.Bytes())
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -53,8 +53,8 @@
 	n.exchange(now, candidates[n.rng.IntN(len(candidates))])
 }
 
-// syncWithRandomMember starts an exchange with a member drawn at random, or now and then with a seed, because the members on
-// one side of a partition may all have forgotten the other side.
+// syncWithRandomMember starts an exchange with a member drawn at random, or now and then with a seed, because the
+// members on one side of a partition may all have forgotten the other side.
 func (n *Node) syncWithRandomMember(now time.Duration) {
 	if n.inactive || !n.joined {
 		return
@@ -98,8 +98,8 @@
 	return d
 }
 
-// ExchangeRequested handles the digest with which another instance has started an exchange, and returns the answer: what the
-// other lacks, and what this instance wants. The digest came from the address observed.
+// ExchangeRequested handles the digest with which another instance has started an exchange, and returns the answer:
+// what the other lacks, and what this instance wants. The digest came from the address observed.
 func (n *Node) ExchangeRequested(now time.Duration, d *Digest, observed netip.Addr) *Items {
 	n.detectPause(now)
 	defer func() { n.scheduleWake(now) }()
@@ -175,8 +175,8 @@
 	return set
 }
 
-// compareRumours adds to items the rumours that the other lacks, the youngest first and as far as there is room, and the
-// fingerprints of those that are lacking here.
+// compareRumours adds to items the rumours that the other lacks, the youngest first and as far as there is room, and
+// the fingerprints of those that are lacking here.
 func (n *Node) compareRumours(now time.Duration, theirs []Fingerprint, items *Items, room *int) {
 	has := fingerprintSet(theirs)
 	var missing []*entry
@@ -203,8 +203,8 @@
 	}
 }
 
-// ExchangeAnswered handles the answer to an exchange that this instance started, and returns what the other wants in turn, or
-// nil if there is nothing to send.
+// ExchangeAnswered handles the answer to an exchange that this instance started, and returns what the other wants in
+// turn, or nil if there is nothing to send.
 func (n *Node) ExchangeAnswered(now time.Duration, items *Items) *Items {
 	n.detectPause(now)
 	defer func() { n.scheduleWake(now) }()
@@ -282,8 +282,8 @@
 	}
 }
 
-// learnAddr records the address at which another instance sees this one, if this one's address is to be learned. The address
-// reported by most instances is used, as single ones may lie.
+// learnAddr records the address at which another instance sees this one, if this one's address is to be learned. The
+// address reported by most instances is used, as single ones may lie.
 func (n *Node) learnAddr(now time.Duration, reporter string, addr netip.Addr) {
 	if !n.config.LearnAddr || reporter == "" || !addr.IsValid() {
 		return
