--- a/internal/clientside/read.go
+++ b/internal/clientside/read.go
@@ -71,7 +71,8 @@
 }
 
 // awaitQueueSpace pauses reading while maxPendingCommands commands wait for their replies. Meanwhile it notices if the
-// client disconnects. Commands that are already in the read buffer are processed afterwards, even during a planned stop.
+// client disconnects. Commands that are already in the read buffer are processed afterwards, even during a planned
+// stop.
 func (c *conn) awaitQueueSpace() error {
 	for c.pendingCommands.Load() >= maxPendingCommands {
 		c.mu.Lock()
@@ -190,8 +191,8 @@
 	}
 }
 
-// maxFastDiscard is how many bytes after rejected input are discarded as fast as they arrive. Beyond that, discarding is
-// slowed down.
+// maxFastDiscard is how many bytes after rejected input are discarded as fast as they arrive. Beyond that, discarding
+// is slowed down.
 const maxFastDiscard = 1 << 20
 
 // awaitReplies waits until all pending replies are written and then returns the reason. It returns errClientGone if the
@@ -295,7 +296,8 @@
 	c.sentCommand.Store(true)
 	now := c.acceptor.clock.Now()
 	op := &exchange.Exchange{Statement: s, OpType: opType, Group: s.Group, Session: sessionHash(s.Key), IsRetry: s.Retry,
-		Deadline: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout), Target: c.acceptor.settings.OpTypes[opType].Target, MinPosition: choice.LongPast, Done: make(chan struct{})}
+		Deadline: now + min(s.Remaining, c.acceptor.settings.OpTypes[opType].Timeout),
+		Target:   c.acceptor.settings.OpTypes[opType].Target, MinPosition: choice.LongPast, Done: make(chan struct{})}
 	if position, ok := c.acceptor.clock.FromUnix(s.After); ok {
 		op.MinPosition = position
 	}
--- a/internal/gossip/credit.go
+++ b/internal/gossip/credit.go
@@ -6,8 +6,8 @@
 )
 
 // Parameters of an observer's credit: the mean of a beta distribution whose prior mean is one in three, in which one
-// contradiction counts as much as three confirmations. Both counts decay, so that the credit returns to the prior and an
-// observer that has lied recovers slowly.
+// contradiction counts as much as three confirmations. Both counts decay, so that the credit returns to the prior and
+// an observer that has lied recovers slowly.
 const (
 	priorConfirmations  = 1.0
 	priorContradictions = 2.0
@@ -28,7 +28,8 @@
 func (m *member) credit(now time.Duration) float64 {
 	confirmed, contradicted := decay(m.confirmed, now-m.creditUpdatedAt, creditDecayTime),
 		decay(m.contradicted, now-m.creditUpdatedAt, creditDecayTime)
-	return (priorConfirmations + confirmed) / (priorConfirmations + priorContradictions + confirmed + contradictionWeight*contradicted)
+	return (priorConfirmations + confirmed) /
+		(priorConfirmations + priorContradictions + confirmed + contradictionWeight*contradicted)
 }
 
 // decayCredit decays both counts to now.
