--- a/cmd/gorsewell/commands_test.go
+++ b/cmd/gorsewell/commands_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestExitCodesOfTheCommands(t *testing.T) {
+func TestCommandExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -36,14 +36,14 @@
 		{"--help", 0, "check       Check a file"},
 	} {
 		cmd := exec.Command(os.Args[0], strings.Fields(c.args)...)
-		cmd.Env = append(os.Environ(), asGateway+"=1", "LB_CONFIG=")
+		cmd.Env = append(os.Environ(), runAsGateway+"=1", "LB_CONFIG=")
 		out, _ := cmd.CombinedOutput()
 		if code := cmd.ProcessState.ExitCode(); code != c.code || !strings.Contains(string(out), c.says) {
 			t.Errorf("%s: exit code %d, %s", c.args, code, out)
 		}
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asGateway+"=1", "LB_CONFIG=", settingsVariable+"="+bad)
+	cmd.Env = append(os.Environ(), runAsGateway+"=1", "LB_CONFIG=", settingsVariable+"="+bad)
 	if out, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != 2 {
 		t.Errorf("the variable: %s", out)
 	}
--- a/cmd/gorsewell/endings_test.go
+++ b/cmd/gorsewell/endings_test.go
@@ -20,7 +20,7 @@
 )
 
 // swap puts another value in the place of the one that a configuration has.
-func swap(t *testing.T, config, name string, value any) string {
+func replaceField(t *testing.T, config, name string, value any) string {
 	t.Helper()
 	all := map[string]json.RawMessage{}
 	if err := json.Unmarshal([]byte(config), &all); err != nil {
@@ -38,7 +38,7 @@
 }
 
 // dead is an address at which nobody listens.
-func dead(t *testing.T) string {
+func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 
 // Idle, silent and half-open clients take all the room that there is, while discovery is down and servers are dialled. Who asks is
 // answered all the same, who is owed an answer keeps its connection, and discovery is reached as soon as it is there.
-func TestIdleClientsMayFillTheDescriptors(t *testing.T) {
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	const sockets = 96
 	held, release, asked := make(chan struct{}, 64), make(chan struct{}), make(chan struct{}, 64)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -61,15 +61,15 @@
 		fmt.Fprint(w, `{"version":1,"full":false,"servers":[]}`)
 	}))
 	t.Cleanup(discovery.Close)
-	cmd, addr, out, path := changed(t, func(role, query string) ([]byte, bool) {
+	cmd, addr, out, path := startGatewayWith(t, func(role, query string) ([]byte, bool) {
 		if strings.Contains(query, "id=9") {
 			held <- struct{}{}
 			<-release
 		}
 		return standin.Row("v", role, time.Now().UnixMilli()), true
 	}, func(config string) string {
-		config = swap(t, config, "discovery", dead(t))
-		config = swap(t, config, "limits", map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets})
+		config = replaceField(t, config, "discovery", unusedAddress(t))
+		config = replaceField(t, config, "limits", map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets})
 		return config
 	})
 	limit := unix.Rlimit{Cur: sockets, Max: sockets}
@@ -85,7 +85,7 @@
 		startup := pgwire.AppendStartup(nil, "portal", "crm")
 		c.Say([][]byte{startup, startup[:9], nil, append(startup, pgwire.AppendQuery(nil, "")...)}[n%4])
 	}
-	if bound := sockets - spare - (sockets-spare)/3; bound < 20 {
+	if bound := sockets - reservedDescriptors - (sockets-reservedDescriptors)/3; bound < 20 {
 		t.Fatalf("%d clients fill nothing", bound)
 	}
 	time.Sleep(2100 * time.Millisecond) // those that have spoken count as idle after two seconds
@@ -96,7 +96,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.Say(pgwire.AppendQuery(nil, fmt.Sprintf(ask, 900+n)))
+		c.Say(pgwire.AppendQuery(nil, fmt.Sprintf(lookupQuery, 900+n)))
 		<-held
 		owed = append(owed, c)
 	}
@@ -106,7 +106,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if got, err := c.Query(fmt.Sprintf(ask, n)); err != nil || got != "v" {
+		if got, err := c.Query(fmt.Sprintf(lookupQuery, n)); err != nil || got != "v" {
 			t.Errorf("who asks: %q, %v", got, err)
 		}
 	}
@@ -114,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	moved := swap(t, string(config), "discovery", strings.TrimPrefix(discovery.URL, "http://"))
+	moved := replaceField(t, string(config), "discovery", strings.TrimPrefix(discovery.URL, "http://"))
 	if err := os.WriteFile(path, []byte(moved), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 }
 
 // Ready waits for nobody: not for discovery, which may be down, silent or overloaded, and not for a list that says something.
-func TestManyThatStartTogetherAreReadyWhateverDiscoveryDoes(t *testing.T) {
+func TestStartupDoesNotDependOnDiscovery(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -148,10 +148,10 @@
 	for n := range 30 {
 		all.Go(func() {
 			began := time.Now()
-			_, addr, _, _ := changed(t, func(role, _ string) ([]byte, bool) { return standin.Row("v", role, 1), true }, func(config string) string {
-				config = swap(t, config, "discovery", []string{silent.Addr().String(), dead(t)}[n%2])
+			_, addr, _, _ := startGatewayWith(t, func(role, _ string) ([]byte, bool) { return standin.Row("v", role, 1), true }, func(config string) string {
+				config = replaceField(t, config, "discovery", []string{silent.Addr().String(), unusedAddress(t)}[n%2])
 				if n%3 == 0 {
-					config = swap(t, config, "known", map[string]any{})
+					config = replaceField(t, config, "known", map[string]any{})
 				}
 				return config
 			})
--- a/cmd/gorsewell/keys.go
+++ b/cmd/gorsewell/keys.go
@@ -14,13 +14,13 @@
 )
 
 // keyCommands makes and shows what instances prove themselves by.
-func keyCommands() *cobra.Command {
+func keysCommand() *cobra.Command {
 	all := &cobra.Command{
 		Use:   "keys",
 		Short: "Make and show the keys by which instances know one another",
-		Args:  usage(cobra.NoArgs),
+		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
-			return badUsage{errors.New("keys needs one of authority, issue, show and rotate")}
+			return usageError{errors.New("keys needs one of authority, issue, show and rotate")}
 		},
 	}
 	all.AddCommand(authorityCommand(), issueCommand(), showCommand(), rotateCommand())
@@ -35,11 +35,11 @@
 		Long: "Makes an authority. NAME.authority.key signs and stays where certificates are issued; NAME.authority goes to all\n" +
 			"instances. A key that exists is never written over.",
 		Example: "  gorsewell keys authority --name 2027 --out keys",
-		Args:    usage(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			a, err := keys.NewAuthority(name)
 			if errors.Is(err, keys.ErrInvalidName) {
-				return badUsage{fmt.Errorf("--name %q: %w", name, err)}
+				return usageError{fmt.Errorf("--name %q: %w", name, err)}
 			} else if err != nil {
 				return err
 			}
@@ -64,13 +64,13 @@
 		Long: "Issues a certificate that binds an instance's name to a key until it expires: NAME.crt, and NAME.key unless that exists\n" +
 			"already, in which case the certificate is for it.",
 		Example: "  gorsewell keys issue --authority keys/2027.authority.key --name n3 --out keys",
-		Args:    usage(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !keys.ValidName(name) {
-				return badUsage{fmt.Errorf("--name %q: %w", name, keys.ErrInvalidName)}
+				return usageError{fmt.Errorf("--name %q: %w", name, keys.ErrInvalidName)}
 			}
 			if lasts <= 0 {
-				return badUsage{fmt.Errorf("--for %v: must be more than 0", lasts)}
+				return usageError{fmt.Errorf("--for %v: must be more than 0", lasts)}
 			}
 			a, err := readAuthority(authority)
 			if err != nil {
@@ -108,14 +108,14 @@
 
 func readAuthority(path string) (*keys.Authority, error) {
 	if path == "" {
-		return nil, badUsage{errors.New("--authority is needed")}
+		return nil, usageError{errors.New("--authority is needed")}
 	}
 	f, err := keys.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	if f.Authority == nil || f.Authority.Private == nil {
-		return nil, badUsage{fmt.Errorf("%s is no private key of an authority", path)}
+		return nil, usageError{fmt.Errorf("%s is no private key of an authority", path)}
 	}
 	return f.Authority, nil
 }
@@ -126,7 +126,7 @@
 		Short:   "Tell what key files hold, never a private key itself",
 		Long:    "Tells what each file holds. Certificates are checked against the authorities among the files.",
 		Example: "  gorsewell keys show keys/2027.authority keys/n3.crt",
-		Args:    usage(cobra.MinimumNArgs(1)),
+		Args:    checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			var files []*keys.File
 			ring := &keys.Keyring{}
@@ -150,7 +150,7 @@
 					fmt.Fprintf(out, "%s: private key, id %s\n", args[i], keys.IDText(keys.ID(f.Private.Public().(ed25519.PublicKey))))
 				default:
 					fmt.Fprintf(out, "%s: certificate of %s, id %s, until %s, by %x%s\n", args[i], f.Certificate.Name, keys.IDText(f.Certificate.KeyID()),
-						time.Unix(f.Certificate.NotAfter, 0).UTC().Format(time.RFC3339), f.Certificate.Authority, counts(ring, f.Certificate))
+						time.Unix(f.Certificate.NotAfter, 0).UTC().Format(time.RFC3339), f.Certificate.Authority, validity(ring, f.Certificate))
 				}
 			}
 			return nil
@@ -158,7 +158,7 @@
 	}
 }
 
-func counts(ring *keys.Keyring, cert *keys.Certificate) string {
+func validity(ring *keys.Keyring, cert *keys.Certificate) string {
 	if len(ring.Authorities) == 0 {
 		if time.Now().Unix() > cert.NotAfter {
 			return ": " + keys.ErrExpired.Error()
@@ -180,14 +180,14 @@
 		Long: "Issues each certificate anew for its name and key. To change the authority: give all instances both authorities and send\n" +
 			"SIGHUP, rotate the certificates by the new one, send SIGHUP, then take the old authority away and send SIGHUP again.",
 		Example: "  gorsewell keys rotate --authority keys/2028.authority.key --out next keys/n*.crt",
-		Args:    usage(cobra.MinimumNArgs(1)),
+		Args:    checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			a, err := readAuthority(authority)
 			if err != nil {
 				return err
 			}
 			if lasts <= 0 {
-				return badUsage{fmt.Errorf("--for %v: must be more than 0", lasts)}
+				return usageError{fmt.Errorf("--for %v: must be more than 0", lasts)}
 			}
 			for _, path := range args {
 				f, err := keys.ReadFile(path)
@@ -195,7 +195,7 @@
 					return err
 				}
 				if f.Certificate == nil {
-					return badUsage{fmt.Errorf("%s is no certificate", path)}
+					return usageError{fmt.Errorf("%s is no certificate", path)}
 				}
 				next, err := a.Issue(f.Certificate.Name, f.Certificate.Public, time.Now().Add(lasts))
 				if err != nil {
--- a/cmd/gorsewell/main_test.go
+++ b/cmd/gorsewell/main_test.go
@@ -20,31 +20,31 @@
 )
 
 // The test's own binary is the gateway where this variable is set.
-const asGateway = "GORSEWELL_TEST_RUN"
+const runAsGateway = "GORSEWELL_TEST_RUN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asGateway) != "" {
+	if os.Getenv(runAsGateway) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-var homes atomic.Int32
+var addressCount atomic.Int32
 
-const ask = "SELECT data FROM facts WHERE code = 'k' /* id=%d,c=lookup,d=2500,cluster=0 */"
+const lookupQuery = "SELECT data FROM facts WHERE code = 'k' /* id=%d,c=lookup,d=2500,cluster=0 */"
 
 // gateway runs the program against a group until the test ends it.
-func gateway(t *testing.T, answer func(role, query string) ([]byte, bool), env ...string) (*exec.Cmd, string, *strings.Builder, string) {
+func startGateway(t *testing.T, answer func(role, query string) ([]byte, bool), env ...string) (*exec.Cmd, string, *strings.Builder, string) {
 	t.Helper()
-	return changed(t, answer, func(string) string { return "" }, env...)
+	return startGatewayWith(t, answer, func(string) string { return "" }, env...)
 }
 
 // changed does so with a configuration that was changed; where nothing comes of that, it is as the group has it.
-func changed(t *testing.T, answer func(role, query string) ([]byte, bool), change func(config string) string, env ...string) (*exec.Cmd,
+func startGatewayWith(t *testing.T, answer func(role, query string) ([]byte, bool), change func(config string) string, env ...string) (*exec.Cmd,
 	string, *strings.Builder, string) {
 	t.Helper()
-	n := homes.Add(1) // an address of its own: a port that was free a moment ago may be some client's by now
+	n := addressCount.Add(1) // an address of its own: a port that was free a moment ago may be some client's by now
 	addr := fmt.Sprintf("127.77.%d.%d:5432", n>>8, n&0xff)
 	group, err := standin.Start(addr, answer)
 	if err != nil {
@@ -57,7 +57,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asGateway+"=1", "LB_CONFIG="+path)
+	cmd.Env = append(os.Environ(), runAsGateway+"=1", "LB_CONFIG="+path)
 	cmd.Env = append(cmd.Env, env...)
 	out := &strings.Builder{}
 	cmd.Stderr = out
@@ -75,9 +75,9 @@
 	}
 }
 
-func TestFromStartToPlannedStop(t *testing.T) {
+func TestGatewayFromStartToPlannedStop(t *testing.T) {
 	slow := make(chan struct{})
-	cmd, addr, out, _ := gateway(t, func(role, query string) ([]byte, bool) {
+	cmd, addr, out, _ := startGateway(t, func(role, query string) ([]byte, bool) {
 		if strings.Contains(query, "id=9,") {
 			<-slow
 		}
@@ -92,14 +92,14 @@
 		t.Errorf("an empty query: %q, %v", got, err)
 	}
 	for id := range 3 {
-		if got, err := c.Query(fmt.Sprintf(ask, id)); err != nil || got != "from a replica" {
+		if got, err := c.Query(fmt.Sprintf(lookupQuery, id)); err != nil || got != "from a replica" {
 			t.Errorf("%q, %v", got, err)
 		}
 	}
 	cmd.Process.Signal(syscall.SIGUSR1)
 	var held sync.WaitGroup
 	held.Go(func() {
-		if got, err := c.Query(fmt.Sprintf(ask, 9)); err != nil || got != "from a replica" {
+		if got, err := c.Query(fmt.Sprintf(lookupQuery, 9)); err != nil || got != "from a replica" {
 			t.Errorf("the held op: %q, %v", got, err)
 		}
 	})
@@ -111,7 +111,7 @@
 		t.Fatal(err)
 	}
 	defer late.Close()
-	if got, err := late.Query(fmt.Sprintf(ask, 4)); err != nil || got != "from a replica" {
+	if got, err := late.Query(fmt.Sprintf(lookupQuery, 4)); err != nil || got != "from a replica" {
 		t.Errorf("after SIGTERM: %q, %v", got, err)
 	}
 	time.Sleep(600 * time.Millisecond)
@@ -128,7 +128,7 @@
 }
 
 // The environment names the old discovery for good. Each reload is over before the next begins, as the log shows.
-func TestSIGHUPMovesToTheDiscoveryOfTheNewFile(t *testing.T) {
+func TestSIGHUPMovesToDiscoveryOfNewFile(t *testing.T) {
 	asked := make(chan string, 16)
 	discovery := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -139,7 +139,7 @@
 		return strings.TrimPrefix(s.URL, "http://")
 	}
 	old, next := discovery("old "), discovery("new ")
-	cmd, addr, out, path := gateway(t, func(role, _ string) ([]byte, bool) {
+	cmd, addr, out, path := startGateway(t, func(role, _ string) ([]byte, bool) {
 		return standin.Row("v", role, time.Now().UnixMilli()), true
 	}, "LB_DISCOVERY="+old)
 	if got := <-asked; got != "old since=1&timeout_ms=10" {
@@ -170,7 +170,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if got, err := c.Query(fmt.Sprintf(ask, 1)); err != nil || got != "v" {
+	if got, err := c.Query(fmt.Sprintf(lookupQuery, 1)); err != nil || got != "v" {
 		t.Errorf("%q, %v", got, err)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestMissingOrBadSurroundings(t *testing.T) {
+func TestRunRejectsMissingOrInvalidConfig(t *testing.T) {
 	good, err := standin.Start("127.0.0.1:0", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -231,7 +231,7 @@
 		"bad server":      change(func(m map[string]any) { m["known"] = map[string]any{"servers": []any{map[string]any{"id": "s-1"}}} }),
 	} {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), asGateway+"=1", "LB_CONFIG="+config)
+		cmd.Env = append(os.Environ(), runAsGateway+"=1", "LB_CONFIG="+config)
 		out, err := cmd.CombinedOutput()
 		if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "gorsewell: ") {
 			t.Errorf("%s: %v, %q", name, err, out)
--- a/cmd/gorsewell/names_test.go
+++ b/cmd/gorsewell/names_test.go
@@ -11,7 +11,7 @@
 	const text = `{"name":"n","listen":"l","discovery":"d","seed":"s","limits":{"cores":1.5,"memory_mb":2,"sockets":3},` +
 		`"known":{"version":4,"full":true,"servers":[{"id":"i","addr":"a","zone":"z","kind":"k","cell":5,"state":"x","role":"r","weight":6,"started_ms":7}]},` +
 		`"settings":{"round":8}}`
-	read := &given{}
+	read := &platformConfig{}
 	if err := json.Unmarshal([]byte(text), read); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/gorsewell/run.go
+++ b/cmd/gorsewell/run.go
@@ -31,7 +31,7 @@
 )
 
 // given is what the platform hands a gateway.
-type given struct {
+type platformConfig struct {
 	Name, Listen, Discovery, Seed string
 	Limits                        struct {
 		Cores    float64
@@ -43,7 +43,7 @@
 }
 
 // read reads the file at LB_CONFIG. At the start the environment goes over the file; later the file is newer.
-func read(starting bool) (*given, *deployment.Settings, error) {
+func readPlatformConfig(starting bool) (*platformConfig, *deployment.Settings, error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
 		return nil, nil, errors.New("LB_CONFIG is not set")
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	g := &given{}
+	g := &platformConfig{}
 	if err := json.Unmarshal(text, g); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -92,7 +92,7 @@
 
 // reload reads the file again at each SIGHUP and moves to its discovery. Nothing else of it can change while running; of our
 // own settings the gossip's keys can.
-func reload(ctx context.Context, asked <-chan os.Signal, at string, lists *discovery.Client, path string, gossip *carrier.Carrier) error {
+func reloadOnSignal(ctx context.Context, asked <-chan os.Signal, at string, lists *discovery.Client, path string, gossip *carrier.Carrier) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -106,7 +106,7 @@
 				slog.Info("rekeyed")
 			}
 		}
-		g, _, err := read(false)
+		g, _, err := readPlatformConfig(false)
 		switch {
 		case err != nil:
 			slog.Error("reload_failed", "error", err)
@@ -134,7 +134,7 @@
 }
 
 // share makes the gossip, where the settings want it; nil otherwise.
-func share(settings *config.Settings, name string, clock exchange.Clock, desk *dispatch.Dispatch, names *discovery.Names) (*carrier.Carrier, error) {
+func newGossip(settings *config.Settings, name string, clock exchange.Clock, desk *dispatch.Dispatch, names *discovery.Names) (*carrier.Carrier, error) {
 	s := &settings.Gossip
 	if !s.Enabled {
 		return nil, nil
@@ -153,28 +153,28 @@
 }
 
 // messageShare is the part of the memory that one message may take: values come longer than the protocol's page says.
-const messageShare = 64
+const messageMemoryDivisor = 64
 
 // spare is how many descriptors are kept for the standard streams, the listener, discovery, the runtime and clients
 // that are being turned away.
-const spare = 32
+const reservedDescriptors = 32
 
 // leastServers is how many connections to servers a gateway can do with; it has twice as many to clients.
-const leastServers = 4
+const minServerConns = 4
 
 // gossipSockets are the gossip's own descriptors, beside the streams that others open.
-const gossipSockets = 6
+const gossipDescriptors = 6
 
 func run(path string, settings *config.Settings) error {
 	logTo(os.Stderr, settings.Log.Level.Level)
 	// Caught from here until the process ends: what follows a planned stop must not end it either.
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
-	g, told, err := read(true)
+	g, told, err := readPlatformConfig(true)
 	if err != nil {
 		return err
 	}
-	told.MaxMessageBytes = int(g.Limits.MemoryMB) << 20 / messageShare
+	told.MaxMessageBytes = int(g.Limits.MemoryMB) << 20 / messageMemoryDivisor
 	runtime.GOMAXPROCS(max(1, int(g.Limits.Cores)))
 	if g.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(g.Limits.MemoryMB << 20 * 3 / 4)
@@ -185,11 +185,11 @@
 		sockets = 1024
 	}
 	if settings.Gossip.Enabled {
-		sockets -= settings.Gossip.Limits.Streams + gossipSockets
+		sockets -= settings.Gossip.Limits.Streams + gossipDescriptors
 	}
-	servers := (sockets - spare) / 3
-	if servers < leastServers {
-		return fmt.Errorf("limits.sockets: %d are too few, of which %d are for servers and clients", g.Limits.Sockets, sockets-spare)
+	servers := (sockets - reservedDescriptors) / 3
+	if servers < minServerConns {
+		return fmt.Errorf("limits.sockets: %d are too few, of which %d are for servers and clients", g.Limits.Sockets, sockets-reservedDescriptors)
 	}
 	clock, counts := exchange.StartClock(), &counters.Set{}
 	names := discovery.NewNames(clock, told)
@@ -212,12 +212,12 @@
 	defer finish()
 
 	desk := dispatch.New(clock, counts)
-	gossip, err := share(settings, g.Name, clock, desk, names)
+	gossip, err := newGossip(settings, g.Name, clock, desk, names)
 	if err != nil {
 		return errors.Join(err, l.Close())
 	}
 	pool := serverside.New(work, clock, desk, counts, told, servers)
-	front := clientside.New(clock, desk, counts, told, sockets-spare-servers)
+	front := clientside.New(clock, desk, counts, told, sockets-reservedDescriptors-servers)
 	lists := discovery.New(g.Discovery, g.Known.Version, names, told, desk, counts)
 	desk.Start(pool, lists, &told.Deployment, known, addrs)
 	slog.Info("started", "name", g.Name, "listen", g.Listen)
@@ -226,8 +226,8 @@
 	group.Go(func() error { return desk.Run(work) })
 	group.Go(func() error { return lists.Run(work) })
 	group.Go(pool.Wait)
-	group.Go(func() error { return reload(work, again, g.Discovery, lists, path, gossip) })
-	group.Go(func() error { return printCounters(work, counts, gossip) })
+	group.Go(func() error { return reloadOnSignal(work, again, g.Discovery, lists, path, gossip) })
+	group.Go(func() error { return logCounters(work, counts, gossip) })
 	if gossip != nil {
 		group.Go(func() error { return gossip.Run(work) })
 	}
@@ -257,7 +257,7 @@
 }
 
 // printCounters prints the counters whenever SIGUSR1 asks for them.
-func printCounters(ctx context.Context, counts *counters.Set, gossip *carrier.Carrier) error {
+func logCounters(ctx context.Context, counts *counters.Set, gossip *carrier.Carrier) error {
 	asked := make(chan os.Signal, 1)
 	signal.Notify(asked, syscall.SIGUSR1)
 	defer signal.Stop(asked)
--- a/cmd/gorsewellctl/experiment.go
+++ b/cmd/gorsewellctl/experiment.go
@@ -14,9 +14,9 @@
 	all := &cobra.Command{
 		Use:   "experiment",
 		Short: "Play experiments in the emulator and tell what came of them",
-		Args:  usage(cobra.NoArgs),
+		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
-			return badUsage{errors.New("experiment needs one of run and metrics")}
+			return usageError{errors.New("experiment needs one of run and metrics")}
 		},
 	}
 	all.AddCommand(experimentRun(), experimentMetrics())
@@ -34,13 +34,13 @@
 			"given the same folder. Exit code 3: it ran, and an expectation fell short.",
 		Example: "  gorsewellctl experiment run experiments/gossip-faults.yaml --out /tmp/faults\n" +
 			"  gorsewellctl experiment run experiments/gossip-liars.yaml --seeds 3 --json",
-		Args: usage(cobra.ExactArgs(1)),
+		Args: checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Load(args[0])
 			if err != nil {
 				return err
 			}
-			if terminal(os.Stderr) {
+			if isTerminal(os.Stderr) {
 				o.Progress = func(done, all int) { fmt.Fprintf(os.Stderr, "\r%s: %d of %d runs ", e.Name, done, all) }
 			}
 			r, err := e.Play(c.Context(), o)
@@ -56,7 +56,7 @@
 				fmt.Fprint(c.OutOrStdout(), r.Table())
 			}
 			if !r.Holds() {
-				return errShort
+				return errExpectationFailed
 			}
 			return nil
 		},
@@ -73,7 +73,7 @@
 	return &cobra.Command{
 		Use:   "metrics",
 		Short: "List the metrics that expectations and charts can name",
-		Args:  usage(cobra.NoArgs),
+		Args:  checkArgs(cobra.NoArgs),
 		Run: func(c *cobra.Command, _ []string) {
 			for _, m := range experiment.MetricDocs() {
 				fmt.Fprintf(c.OutOrStdout(), "%-22s %s\n", m[0], m[1])
--- a/cmd/gorsewellctl/load.go
+++ b/cmd/gorsewellctl/load.go
@@ -27,7 +27,7 @@
 			"instance, and clients that ask at the times that were drawn before, whatever became of earlier ops. It takes as long as the\n" +
 			"day. Latencies count from the intended time of an op; how late this end itself was is told beside them.",
 		Example: "  gorsewellctl load experiments/loopback-gossip.yaml --arm with --program bin/gorsewell",
-		Args:    usage(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			e, err := experiment.Load(args[0])
 			if err != nil {
@@ -36,14 +36,14 @@
 			a := &e.Arms[0]
 			if arm != "" {
 				if a = e.Arm(arm); a == nil {
-					return badUsage{fmt.Errorf("--arm %q: %s has none of that name", arm, args[0])}
+					return usageError{fmt.Errorf("--arm %q: %s has none of that name", arm, args[0])}
 				}
 			}
 			if a.Decides.Policy != "" && a.Decides.Policy != "module" {
-				return badUsage{fmt.Errorf("arm %s decides by %q; on sockets only the module does", a.Name, a.Decides.Policy)}
+				return usageError{fmt.Errorf("arm %s decides by %q; on sockets only the module does", a.Name, a.Decides.Policy)}
 			}
 			if _, err := os.Stat(program); err != nil {
-				return badUsage{fmt.Errorf("--program: %w", err)}
+				return usageError{fmt.Errorf("--program: %w", err)}
 			}
 			slog.SetLogLoggerLevel(slog.LevelError) // the rig's own instances have nothing to tell here
 			r, err := loopback.Play(c.Context(), loopback.Day{World: a.World, Faults: a.Faults, Gossip: a.Decides.Gossip, Seed: seed, Program: program,
@@ -52,9 +52,9 @@
 				return err
 			}
 			if asJSON {
-				return json.NewEncoder(c.OutOrStdout()).Encode(summary(a.Name, seed, r))
+				return json.NewEncoder(c.OutOrStdout()).Encode(summarize(a.Name, seed, r))
 			}
-			tell(c.OutOrStdout(), a.Name, seed, r)
+			printSummary(c.OutOrStdout(), a.Name, seed, r)
 			return nil
 		},
 	}
@@ -68,46 +68,46 @@
 }
 
 // day is a day on sockets as an object.
-type day struct {
-	Arm       string              `json:"arm"`
-	Seed      uint64              `json:"seed"`
-	Service   float64             `json:"service"`
-	Asked     float64             `json:"asked"`
-	Broken    [5]int64            `json:"rules_broken"`
-	Busy      int64               `json:"busy"`
-	Errored   int64               `json:"errored"`
-	Lost      int64               `json:"lost_tries"`
-	Unsent    int64               `json:"unsent"`
-	Sends     int64               `json:"sends"`
-	LateP50ms float64             `json:"lateness_p50_ms"`
-	LateP99ms float64             `json:"lateness_p99_ms"`
-	Types     map[string]typeDay  `json:"types"`
-	Gossip    map[string]sumOfAll `json:"gossip,omitempty"`
-	Stories   []string            `json:"stories,omitempty"`
+type loadSummary struct {
+	Arm           string                    `json:"arm"`
+	Seed          uint64                    `json:"seed"`
+	Service       float64                   `json:"service"`
+	Asked         float64                   `json:"asked"`
+	Broken   [5]int64                  `json:"rules_broken"`
+	Busy          int64                     `json:"busy"`
+	Errored       int64                     `json:"errored"`
+	Lost     int64                     `json:"lost_tries"`
+	Unsent        int64                     `json:"unsent"`
+	Sends         int64                     `json:"sends"`
+	LatenessP50ms float64                   `json:"lateness_p50_ms"`
+	LatenessP99ms float64                   `json:"lateness_p99_ms"`
+	Types         map[string]typeSummary    `json:"types"`
+	Gossip        map[string]counterSummary `json:"gossip,omitempty"`
+	Stories       []string                  `json:"stories,omitempty"`
 }
 
-type typeDay struct {
+type typeSummary struct {
 	Service float64 `json:"service"`
 	P50ms   float64 `json:"p50_ms"`
 	P99ms   float64 `json:"p99_ms"`
 }
 
 // sumOfAll is a counter over all instances that told it.
-type sumOfAll struct {
-	Sum  int64 `json:"sum"`
-	Most int64 `json:"most"`
+type counterSummary struct {
+	Sum int64 `json:"sum"`
+	Max int64 `json:"most"`
 }
 
-func summary(arm string, seed uint64, r *loopback.Result) day {
-	d := day{Arm: arm, Seed: seed, Service: r.Service(), Asked: r.Asked, Broken: r.Broken, Busy: r.Busy, Errored: r.Errored, Lost: r.Lost, Unsent: r.Unsent,
-		Sends: r.Sends, LateP50ms: float64(r.Lateness.ValueAtQuantile(50)) / 1000, LateP99ms: float64(r.Lateness.ValueAtQuantile(99)) / 1000,
-		Types: map[string]typeDay{}, Stories: r.Stories, Gossip: map[string]sumOfAll{}}
+func summarize(arm string, seed uint64, r *loopback.Result) loadSummary {
+	d := loadSummary{Arm: arm, Seed: seed, Service: r.Service(), Asked: r.Asked, Broken: r.Broken, Busy: r.Busy, Errored: r.Errored, Lost: r.Lost, Unsent: r.Unsent,
+		Sends: r.Sends, LatenessP50ms: float64(r.Lateness.ValueAtQuantile(50)) / 1000, LatenessP99ms: float64(r.Lateness.ValueAtQuantile(99)) / 1000,
+		Types: map[string]typeSummary{}, Stories: r.Stories, Gossip: map[string]counterSummary{}}
 	for _, t := range r.Types {
 		s := 1.0
 		if t.Value > 0 {
 			s = t.Earned / t.Value
 		}
-		d.Types[t.Name] = typeDay{s, float64(t.Latency.ValueAtQuantile(50)) / 1000, float64(t.Latency.ValueAtQuantile(99)) / 1000}
+		d.Types[t.Name] = typeSummary{s, float64(t.Latency.ValueAtQuantile(50)) / 1000, float64(t.Latency.ValueAtQuantile(99)) / 1000}
 	}
 	for _, words := range r.Gateways {
 		for line := range strings.Lines(words) {
@@ -119,7 +119,7 @@
 				var n int64
 				if _, err := fmt.Sscanf(value, "%d", &n); err == nil && name != "time" {
 					s := d.Gossip[name]
-					d.Gossip[name] = sumOfAll{s.Sum + n, max(s.Most, n)}
+					d.Gossip[name] = counterSummary{s.Sum + n, max(s.Max, n)}
 				}
 			}
 		}
@@ -127,18 +127,18 @@
 	return d
 }
 
-func tell(w io.Writer, arm string, seed uint64, r *loopback.Result) {
-	d := summary(arm, seed, r)
+func printSummary(w io.Writer, arm string, seed uint64, r *loopback.Result) {
+	d := summarize(arm, seed, r)
 	fmt.Fprintf(w, "arm %s, seed %d: %.0f ops, service %.4f, rules broken %v\n", d.Arm, d.Seed, d.Asked, d.Service, d.Broken)
 	fmt.Fprintf(w, "busy replies %d, errors %d, tries without an answer %d, sends %d\n", d.Busy, d.Errored, d.Lost, d.Sends)
-	fmt.Fprintf(w, "this end asked %.1f ms late in the median, %.1f ms at most in 99 of 100; %d ops it could not ask\n", d.LateP50ms, d.LateP99ms, d.Unsent)
+	fmt.Fprintf(w, "this end asked %.1f ms late in the median, %.1f ms at most in 99 of 100; %d ops it could not ask\n", d.LatenessP50ms, d.LatenessP99ms, d.Unsent)
 	for _, t := range r.Types {
 		x := d.Types[t.Name]
 		fmt.Fprintf(w, "  %-12s asked %6d  service %.4f  median %6.1f ms  99 of 100 %7.1f ms\n", t.Name, t.Asked, x.Service, x.P50ms, x.P99ms)
 	}
 	for _, name := range []string{"sent_bytes", "received", "died", "rumours_made", "rumours_taken", "contradicted", "borne_out"} {
 		if s, ok := d.Gossip[name]; ok {
-			fmt.Fprintf(w, "  gossip %-14s %10d in all, %8d at most\n", name, s.Sum, s.Most)
+			fmt.Fprintf(w, "  gossip %-14s %10d in all, %8d at most\n", name, s.Sum, s.Max)
 		}
 	}
 	for _, e := range r.Events {
--- a/cmd/gorsewellctl/main.go
+++ b/cmd/gorsewellctl/main.go
@@ -16,16 +16,16 @@
 
 // The exit codes of all commands of this project.
 const (
-	couldNotRun = 1
-	badInput    = 2
-	fellShort   = 3
+	exitFailure           = 1
+	exitUsage             = 2
+	exitExpectationFailed = 3
 )
 
 // badUsage marks an error as one of what was typed or written, not of the surroundings.
-type badUsage struct{ error }
+type usageError struct{ error }
 
 // errShort says that all ran and something that was expected did not come.
-var errShort = errors.New("an expectation fell short")
+var errExpectationFailed = errors.New("an expectation fell short")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -35,7 +35,7 @@
 
 // execute runs the command and gives its exit code.
 func execute(ctx context.Context, args []string) int {
-	root := commands()
+	root := rootCommand()
 	root.SetArgs(args)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
@@ -45,44 +45,44 @@
 	switch {
 	case errors.As(err, &problems): // a line each, which an editor can follow
 		fmt.Fprintln(os.Stderr, problems)
-		return badInput
-	case errors.Is(err, errShort):
+		return exitUsage
+	case errors.Is(err, errExpectationFailed):
 		fmt.Fprintln(os.Stderr, "gorsewellctl:", err)
-		return fellShort
-	case errors.As(err, new(badUsage)):
+		return exitExpectationFailed
+	case errors.As(err, new(usageError)):
 		fmt.Fprintln(os.Stderr, "gorsewellctl:", err)
-		return badInput
+		return exitUsage
 	}
 	fmt.Fprintln(os.Stderr, "gorsewellctl:", err)
-	return couldNotRun
+	return exitFailure
 }
 
-func commands() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "gorsewellctl",
 		Short:         "Tools around gorsewell: emulated days, experiments, load",
-		Args:          usage(cobra.NoArgs),
+		Args:          checkArgs(cobra.NoArgs),
 		RunE:          func(c *cobra.Command, _ []string) error { return c.Help() },
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badUsage{err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
 	root.AddCommand(experimentCommand(), loadCommand())
 	return root
 }
 
 // usage marks what a check of arguments finds as bad usage.
-func usage(check cobra.PositionalArgs) cobra.PositionalArgs {
+func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
-			return badUsage{err}
+			return usageError{err}
 		}
 		return nil
 	}
 }
 
 // terminal tells whether progress can be written over itself.
-func terminal(f *os.File) bool {
+func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -126,7 +126,7 @@
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	s.Gossip.beside(filepath.Dir(path))
+	s.Gossip.resolvePaths(filepath.Dir(path))
 	return s, nil
 }
 
@@ -141,7 +141,7 @@
 func (s *Settings) check(f *yamlfile.File) { s.Gossip.check(f) }
 
 // beside makes the paths of files that stand beside the settings absolute.
-func (g *Gossip) beside(dir string) {
+func (g *Gossip) resolvePaths(dir string) {
 	at := func(path *string) {
 		if *path != "" && !filepath.IsAbs(*path) {
 			*path = filepath.Join(dir, *path)
@@ -155,30 +155,30 @@
 }
 
 func (g *Gossip) check(f *yamlfile.File) {
-	between(f, "gossip.probe_every", g.ProbeEvery, 50*time.Millisecond, time.Minute)
-	between(f, "gossip.probe_timeout", g.ProbeTimeout, 10*time.Millisecond, g.ProbeEvery)
-	between(f, "gossip.suspect_for", g.SuspectFor, g.ProbeEvery, time.Hour)
-	between(f, "gossip.tell_every", g.TellEvery, 20*time.Millisecond, 10*time.Second)
-	between(f, "gossip.sync_every", g.SyncEvery, time.Second, time.Hour)
-	between(f, "gossip.rumour_life", g.RumourLife, 2*time.Second, 10*time.Minute)
+	checkRange(f, "gossip.probe_every", g.ProbeEvery, 50*time.Millisecond, time.Minute)
+	checkRange(f, "gossip.probe_timeout", g.ProbeTimeout, 10*time.Millisecond, g.ProbeEvery)
+	checkRange(f, "gossip.suspect_for", g.SuspectFor, g.ProbeEvery, time.Hour)
+	checkRange(f, "gossip.tell_every", g.TellEvery, 20*time.Millisecond, 10*time.Second)
+	checkRange(f, "gossip.sync_every", g.SyncEvery, time.Second, time.Hour)
+	checkRange(f, "gossip.rumour_life", g.RumourLife, 2*time.Second, 10*time.Minute)
 	l := &g.Limits
-	between(f, "gossip.limits.members", l.Members, 2, 4096)
-	between(f, "gossip.limits.rumours", l.Rumours, 1, 1<<16)
-	between(f, "gossip.limits.rumours_per_observer", l.RumoursPerObserver, 1, l.Rumours)
-	between(f, "gossip.limits.observers_per_server", l.ObserversPerServer, 1, 64)
-	between(f, "gossip.limits.datagram", l.Datagram, 600, 8192)
-	between(f, "gossip.limits.datagrams_per_tell", l.DatagramsPerTell, 1, 64)
-	between(f, "gossip.limits.bytes_per_second", l.BytesPerSecond, 1000, 1<<30)
-	between(f, "gossip.limits.received_per_second", l.ReceivedPerSecond, 50, 1<<20)
-	between(f, "gossip.limits.streams", l.Streams, 1, 256)
+	checkRange(f, "gossip.limits.members", l.Members, 2, 4096)
+	checkRange(f, "gossip.limits.rumours", l.Rumours, 1, 1<<16)
+	checkRange(f, "gossip.limits.rumours_per_observer", l.RumoursPerObserver, 1, l.Rumours)
+	checkRange(f, "gossip.limits.observers_per_server", l.ObserversPerServer, 1, 64)
+	checkRange(f, "gossip.limits.datagram", l.Datagram, 600, 8192)
+	checkRange(f, "gossip.limits.datagrams_per_tell", l.DatagramsPerTell, 1, 64)
+	checkRange(f, "gossip.limits.bytes_per_second", l.BytesPerSecond, 1000, 1<<30)
+	checkRange(f, "gossip.limits.received_per_second", l.ReceivedPerSecond, 50, 1<<20)
+	checkRange(f, "gossip.limits.streams", l.Streams, 1, 256)
 	if g.Listen != "" {
-		address(f, "gossip.listen", g.Listen, true)
+		checkAddress(f, "gossip.listen", g.Listen, true)
 	}
 	if g.Advertise != "" {
-		address(f, "gossip.advertise", g.Advertise, false)
+		checkAddress(f, "gossip.advertise", g.Advertise, false)
 	}
 	for i, seed := range g.Seeds {
-		address(f, fmt.Sprintf("gossip.seeds[%d]", i), seed, false)
+		checkAddress(f, fmt.Sprintf("gossip.seeds[%d]", i), seed, false)
 	}
 	if !g.Enabled {
 		return
@@ -197,7 +197,7 @@
 }
 
 // between tells where a value lies outside its range. The bound is named, as who wrote the value needs to know it.
-func between[T int | time.Duration | yamlfile.Size](f *yamlfile.File, key string, v, least, most T) {
+func checkRange[T int | time.Duration | yamlfile.Size](f *yamlfile.File, key string, v, least, most T) {
 	if v < least {
 		f.Wrong(key, "%v is less than %v, the least that works", v, least)
 	} else if v > most {
@@ -206,7 +206,7 @@
 }
 
 // address checks a host and port by their form. Names are resolved only where they are used.
-func address(f *yamlfile.File, key, v string, anyHost bool) {
+func checkAddress(f *yamlfile.File, key, v string, anyHost bool) {
 	host, port, err := net.SplitHostPort(v)
 	if n, bad := strconv.Atoi(port); err != nil || bad != nil || n < 1 && !anyHost || n < 0 || n > 65535 || host == "" && !anyHost {
 		f.Wrong(key, "%q is no address; write it as host:port", v)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,16 +11,16 @@
 	"gorsewell/internal/yamlfile"
 )
 
-const example = "../../deploy/gorsewell.yaml"
+const exampleFile = "../../deploy/gorsewell.yaml"
 
-func TestTheExampleHoldsEveryKeyWithItsDefault(t *testing.T) {
-	text, err := os.ReadFile(example)
+func TestExampleFileHasEveryKeyWithItsDefault(t *testing.T) {
+	text, err := os.ReadFile(exampleFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// Read into nothing, what the example leaves out would stay zero and differ.
 	got := &Settings{}
-	f := yamlfile.Read(example, text, got)
+	f := yamlfile.Read(exampleFile, text, got)
 	if err := f.Err(); err != nil {
 		t.Fatal(err)
 	}
@@ -42,12 +42,12 @@
 		}
 	}
 	walk("", reflect.TypeFor[Settings]())
-	if _, err := Load(example); err != nil {
+	if _, err := Load(exampleFile); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestAllThatIsWrongIsToldWithItsLine(t *testing.T) {
+func TestParseReportsAllProblemsWithTheirLines(t *testing.T) {
 	_, err := Parse("f.yaml", []byte(`log:
   level: loud
 gossip:
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestPathsStandBesideTheFile(t *testing.T) {
+func TestLoadResolvesPathsAgainstFolderOfFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s.yaml")
 	if err := os.WriteFile(path, []byte("gossip: {enabled: true, cluster: c, key: k, certificate: /c, authorities: [a]}"), 0o600); err != nil {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func unhex(t *testing.T, s string) []byte {
+func decodeHex(t *testing.T, s string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(s, " ", ""))
 	if err != nil {
@@ -16,9 +16,9 @@
 	return b
 }
 
-func TestEmptyBatch(t *testing.T) {
+func TestServeAnswersEmptyBatch(t *testing.T) {
 	var out bytes.Buffer
-	in := unhex(t, "00000014 00000001f568bf90 00000000 00000001")
+	in := decodeHex(t, "00000014 00000001f568bf90 00000000 00000001")
 	if err := Serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -27,12 +27,12 @@
 	}
 }
 
-func TestStartThenStopInOneBatch(t *testing.T) {
+func TestServeStartAndStopInOneBatch(t *testing.T) {
 	text := "round=5000000\nregistry_mode=on_request\nrules.must_ask_in=10000000000\nunheard.of=x\n"
-	start := append(unhex(t, "04 0003 0000000000000007 00000000"), 0, 0, 0, byte(len(text)))
-	records := append(append(start, make([]byte, 48-len(start))...), unhex(t, "02 0003")...)
+	start := append(decodeHex(t, "04 0003 0000000000000007 00000000"), 0, 0, 0, byte(len(text)))
+	records := append(append(start, make([]byte, 48-len(start))...), decodeHex(t, "02 0003")...)
 	records = append(records, make([]byte, 96-len(records))...)
-	in := append(unhex(t, "00000000 0000000000000064 00000002 00000009"), records...)
+	in := append(decodeHex(t, "00000000 0000000000000064 00000002 00000009"), records...)
 	in = append(in, text...)
 	in[3] = byte(len(in))
 	var out bytes.Buffer
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+func TestServeRejectsMalformedInput(t *testing.T) {
 	pad := strings.Repeat("00", 47)
 	for _, c := range []struct{ in, want string }{
 		{"0000", "inside the header"},
@@ -60,7 +60,7 @@
 			"outside the tail"},
 		{"00000044 0000000000000000 00000001 00000001 08 00000010" + strings.Repeat("00", 43), "list number 16"},
 	} {
-		err := Serve(bytes.NewReader(unhex(t, c.in)), &bytes.Buffer{})
+		err := Serve(bytes.NewReader(decodeHex(t, c.in)), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %q", c.in, err, c.want)
 		}
@@ -68,13 +68,13 @@
 }
 
 func TestPanicIsReportedAsBug(t *testing.T) {
-	x := &wire{gateways: map[uint16]*instance{}}
-	x.gateways[3] = &instance{x: x, who: 3} // no gateway: any call panics
-	timer := append(unhex(t, "05 0003 00000000"), make([]byte, 41)...)
-	if err := x.event(timer); err != nil {
+	x := &conn{instances: map[uint16]*instance{}}
+	x.instances[3] = &instance{conn: x, id: 3} // no gateway: any call panics
+	timer := append(decodeHex(t, "05 0003 00000000"), make([]byte, 41)...)
+	if err := x.handleEvent(timer); err != nil {
 		t.Fatal(err)
 	}
-	if len(x.out) != actionSize || x.out[0] != acBug || !strings.Contains(string(x.outTail), "nil pointer") {
-		t.Errorf("records %x, text %q", x.out, x.outTail)
+	if len(x.actionRecords) != actionSize || x.actionRecords[0] != actionBug || !strings.Contains(string(x.actionTail), "nil pointer") {
+		t.Errorf("records %x, text %q", x.actionRecords, x.actionTail)
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -38,16 +38,16 @@
 		} else if err != nil {
 			return err
 		}
-		go d.serve(c)
+		go d.serveClient(c)
 	}
 }
 
-func (d *Database) serve(c net.Conn) {
+func (d *Database) serveClient(c net.Conn) {
 	defer c.Close()
 	var w pgwire.ReadBuffer
 	for size := 0; size == 0; {
 		var err error
-		if _, size, err = pgwire.ParseStartup(w.Bytes()); err != nil || size == 0 && fill(c, &w) != nil {
+		if _, size, err = pgwire.ParseStartup(w.Bytes()); err != nil || size == 0 && readMore(c, &w) != nil {
 			return
 		}
 		w.Discard(size)
@@ -64,7 +64,7 @@
 	}
 	for {
 		m, ok, err := w.Next()
-		if err != nil || !ok && fill(c, &w) != nil || ok && m.Type != pgwire.Query {
+		if err != nil || !ok && readMore(c, &w) != nil || ok && m.Type != pgwire.Query {
 			return
 		} else if !ok {
 			continue
@@ -81,7 +81,7 @@
 	}
 }
 
-func fill(c net.Conn, w *pgwire.ReadBuffer) error {
+func readMore(c net.Conn, w *pgwire.ReadBuffer) error {
 	n, err := c.Read(w.Space())
 	w.Filled(n)
 	if n > 0 {
@@ -97,15 +97,15 @@
 	n := len(value)
 	b = pgwire.AppendMessage(b, pgwire.DataRow,
 		"\x00\x01", string([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}), value)
-	return told(pgwire.AppendMessage(b, pgwire.CommandComplete, "SELECT 1\x00"), role, position)
+	return appendStatus(pgwire.AppendMessage(b, pgwire.CommandComplete, "SELECT 1\x00"), role, position)
 }
 
 // Failure is an ErrorResponse with the role and the position.
 func Failure(code, role string, position int64) []byte {
-	return told(pgwire.AppendError(nil, "ERROR", code, "as the test wants", ""), role, position)
+	return appendStatus(pgwire.AppendError(nil, "ERROR", code, "as the test wants", ""), role, position)
 }
 
-func told(b []byte, role string, position int64) []byte {
+func appendStatus(b []byte, role string, position int64) []byte {
 	b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "role\x00", role, "\x00")
 	b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "applied_ms\x00", strconv.FormatInt(position, 10), "\x00")
 	return pgwire.AppendReady(b)
@@ -114,7 +114,7 @@
 // Client is one connection of a client.
 type Client struct {
 	net.Conn
-	window pgwire.ReadBuffer
+	buffer pgwire.ReadBuffer
 }
 
 // Dial connects and is let in.
@@ -156,12 +156,12 @@
 // of a row, the code and detail of an error, or the types of other messages.
 func (c *Client) Answer() (short string, err error) {
 	for {
-		m, ok, err := c.window.Next()
+		m, ok, err := c.buffer.Next()
 		if err != nil {
 			return short, err
 		}
 		if !ok {
-			if err := fill(c, &c.window); errors.Is(err, io.EOF) {
+			if err := readMore(c, &c.buffer); errors.Is(err, io.EOF) {
 				return short + "$", nil
 			} else if err != nil {
 				return short, err
@@ -178,7 +178,7 @@
 			}
 			short += string(value)
 		case pgwire.ErrorResponse:
-			short += fields(m.Body)
+			short += errorFields(m.Body)
 		case pgwire.EmptyQueryResponse:
 			short += "I"
 		}
@@ -186,7 +186,7 @@
 }
 
 // fields is the code and the detail of an ErrorResponse.
-func fields(body []byte) (short string) {
+func errorFields(body []byte) (short string) {
 	for len(body) > 1 {
 		value, rest, err := pgwire.CutString(body[1:])
 		if err != nil {
@@ -202,12 +202,12 @@
 
 // Group is a primary and a replica on loopback, with a discovery that lists them and never changes.
 type Group struct {
-	Config []byte // what a gateway is given to work with them
-	parts  []io.Closer
+	Config  []byte // what a gateway is given to work with them
+	closers []io.Closer
 }
 
 // settings describe a small deployment with a read and a write.
-const settings = `{"balancers":1,"round":5000000,"registry_mode":"on_request",
+const deploymentSettings = `{"balancers":1,"round":5000000,"registry_mode":"on_request",
 "classes":[{"name":"lookup","effect":"retryable","target":2000000000,"give_up":3000000000,"worth":1},
 {"name":"save","effect":"dedup","dedup_scope":"cell","window":2000000000,"target":2000000000,"give_up":3000000000,"worth":2}],
 "family_info":{"needs_by_class":["eventual","mutate"],"tells_position":true},
@@ -221,7 +221,7 @@
 	open := func() (net.Listener, error) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err == nil {
-			g.parts = append(g.parts, l)
+			g.closers = append(g.closers, l)
 		}
 		return l, err
 	}
@@ -249,19 +249,19 @@
 		}
 		fmt.Fprint(w, page)
 	})}
-	g.parts = append(g.parts, discovery)
+	g.closers = append(g.closers, discovery)
 	go discovery.Serve(l)
 	g.Config = fmt.Appendf(nil, `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "known":%s,
 "settings":%s}
-`, listen, l.Addr(), page, settings)
+`, listen, l.Addr(), page, deploymentSettings)
 	return g, nil
 }
 
 // Close stops the group.
 func (g *Group) Close() {
-	for _, p := range g.parts {
+	for _, p := range g.closers {
 		p.Close()
 	}
 }
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,9 +1,9 @@
-// Package yamlfile reads YAML files strictly into structs. It tells all that is wrong with a file at once, each with its
-// line and key, since who mends a file by hand wants to mend it once.
+// Package yamlfile reads YAML files strictly into structs. It reports all problems of a file at once, each with its line
+// and key, so that a file can be corrected in one pass.
 //
-// A struct's fields are named by the tag yaml; fields without one are not read. What the file does not name keeps the
-// value that it had, so defaults are set before. Times are written with their unit (250ms, 1.5s), sizes too (64KiB).
-// Anchors, aliases, merges and tags are refused: a file of settings is to say what it means where it stands.
+// The tag yaml names a struct's fields; fields without it are not read. A field that the file does not contain keeps its
+// value, so defaults are set before reading. Durations are written with their unit (250ms, 1.5s); sizes may have one
+// (64KiB). Anchors, aliases, merge keys and tags are rejected, so that every value is written out where it applies.
 package yamlfile
 
 import (
@@ -24,22 +24,22 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// Bounds on what is read.
+// Limits on the input.
 const (
-	MaxFile  = 4 << 20 // bytes
-	maxDepth = 40
-	maxTold  = 100 // problems of one file
+	MaxFile     = 4 << 20 // size of a file in bytes
+	maxDepth    = 40      // levels of nesting
+	maxProblems = 100     // problems reported for one file
 )
 
-// Problem is one thing wrong with a file. Line counts from 1; 0 where no place can be told.
+// Problem is an error in a file.
 type Problem struct {
 	File string
-	Line int
-	Key  string // the path of keys, as in gossip.seeds[2]; empty for the whole file
-	What string
+	Line int    // counted from 1; 0 if unknown
+	Key  string // path of keys, for example gossip.seeds[2]; empty for the whole file
+	What string // description of the problem
 }
 
-// Error gives the problem as FILE:LINE: KEY: WHAT.
+// Error returns the problem as FILE:LINE: KEY: WHAT.
 func (p Problem) Error() string {
 	s := p.File
 	if p.Line > 0 {
@@ -51,10 +51,10 @@
 	return s + ": " + p.What
 }
 
-// Problems is all that is wrong with a file, in the order of lines.
+// Problems holds all problems of a file, in the order of lines.
 type Problems []Problem
 
-// Error gives one line for each problem.
+// Error returns one line for each problem.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
@@ -63,20 +63,21 @@
 	return strings.Join(lines, "\n")
 }
 
-// Defaulter is what a struct implements that stands in a list or under a freely chosen key and has defaults other than
-// zero. SetDefaults is called before its fields are read.
+// Defaulter is implemented by a struct that is an element of a list or map, or the target of a pointer, and has defaults
+// other than zero. SetDefaults is called before its fields are read.
 type Defaulter interface{ SetDefaults() }
 
-// File is a file that has been read. It knows where each key stands, so that what is found wrong later can say so.
+// File is a file that has been read. It keeps the line of each key, so that problems found in later checks can be
+// reported with their line.
 type File struct {
 	name     string
-	lines    map[string]int
+	keyLines map[string]int // by path of keys; "" is the whole file
 	problems Problems
 }
 
-// Load reads the file at path into the struct that into points at. An error that is no Problems says that the file could
-// not be read at all.
-func Load(path string, into any) (*File, error) {
+// Load reads the file at path into the struct that target points to. If the error is not of type Problems, the file
+// could not be opened or read.
+func Load(path string, target any) (*File, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -85,49 +86,49 @@
 	if info, err := f.Stat(); err != nil {
 		return nil, err
 	} else if info.Size() > MaxFile {
-		return nil, Problems{{File: path, What: fmt.Sprintf("%d bytes are more than %d", info.Size(), MaxFile)}}
+		return nil, Problems{{File: path, What: fmt.Sprintf("is %d bytes long; at most %d bytes are allowed", info.Size(), MaxFile)}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	file := Read(path, text, into)
+	file := Read(path, text, target)
 	return file, file.Err()
 }
 
-// Read reads text; name stands for it in problems.
-func Read(name string, text []byte, into any) *File {
-	f := &File{name: name, lines: map[string]int{}}
+// Read reads text into the struct that target points to. Problems are reported under the given file name.
+func Read(name string, text []byte, target any) *File {
+	f := &File{name: name, keyLines: map[string]int{}}
 	if len(text) > MaxFile {
-		f.tell(0, "", "%d bytes are more than %d", len(text), MaxFile)
+		f.add(0, "", "is %d bytes long; at most %d bytes are allowed", len(text), MaxFile)
 		return f
 	}
 	parsed, err := parse(text)
-	var placed interface {
+	var syntaxError interface {
 		GetToken() *token.Token
 		GetMessage() string
 	}
 	switch {
-	case errors.As(err, &placed) && placed.GetToken() != nil && placed.GetToken().Position != nil:
-		f.tell(placed.GetToken().Position.Line, "", "no YAML: %s", placed.GetMessage())
+	case errors.As(err, &syntaxError) && syntaxError.GetToken() != nil && syntaxError.GetToken().Position != nil:
+		f.add(syntaxError.GetToken().Position.Line, "", "invalid YAML: %s", syntaxError.GetMessage())
 		return f
 	case err != nil:
-		f.tell(0, "", "no YAML: %v", err)
+		f.add(0, "", "invalid YAML: %v", err)
 		return f
 	}
 	for i, doc := range parsed.Docs {
 		if doc.Body == nil || doc.Body.Type() == ast.CommentType {
 			continue
 		} else if i > 0 && slices.ContainsFunc(parsed.Docs[:i], func(d *ast.DocumentNode) bool { return d.Body != nil }) {
-			f.tell(line(doc.Body), "", "a second document; one file is one document")
+			f.add(lineOf(doc.Body), "", "found a second document; expected one document")
 			break
 		}
-		f.value("", doc.Body, reflect.ValueOf(into).Elem(), 0)
+		f.readValue("", doc.Body, reflect.ValueOf(target).Elem(), 0)
 	}
 	return f
 }
 
-// parse keeps a defect of the library from ending the program: settings come from outside.
+// parse parses text. It recovers from panics of the library, because the text is untrusted input.
 func parse(text []byte) (f *ast.File, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -137,33 +138,33 @@
 	return parser.ParseBytes(text, 0, parser.AllowDuplicateMapKey())
 }
 
-// Wrong adds a problem with the value of a key, for what is checked after reading. A key that the file does not name is
-// told at the line of the nearest one around it.
+// AddProblem adds a problem with the value of a key that was found by a check after reading. Its line is that of
+// File.Line.
 func (f *File) Wrong(key, format string, args ...any) {
-	f.tell(f.Line(key), key, format, args...)
+	f.add(f.Line(key), key, format, args...)
 }
 
-// Line is the line at which a key stands, or the nearest one around it that the file names; 0 if none.
+// Line returns the line of a key, or of its nearest enclosing key that the file contains; 0 if there is none.
 func (f *File) Line(key string) int {
-	for at := key; ; {
-		if l, ok := f.lines[at]; ok {
+	for path := key; ; {
+		if l, ok := f.keyLines[path]; ok {
 			return l
 		}
-		i := strings.LastIndexAny(at, ".[")
+		i := strings.LastIndexAny(path, ".[")
 		if i < 0 {
-			return f.lines[""]
+			return f.keyLines[""]
 		}
-		at = at[:i]
+		path = path[:i]
 	}
 }
 
-// Names tells whether the file names a key.
+// Has reports whether the file contains a key.
 func (f *File) Names(key string) bool {
-	_, ok := f.lines[key]
+	_, ok := f.keyLines[key]
 	return ok
 }
 
-// Err is all that was found wrong so far as Problems, or nil.
+// Err returns the problems found so far, as Problems sorted by line, or nil.
 func (f *File) Err() error {
 	if len(f.problems) == 0 {
 		return nil
@@ -172,13 +173,15 @@
 	return f.problems
 }
 
-func (f *File) tell(line int, key, format string, args ...any) {
-	if len(f.problems) < maxTold {
+// add adds a problem, up to maxProblems of them.
+func (f *File) add(line int, key, format string, args ...any) {
+	if len(f.problems) < maxProblems {
 		f.problems = append(f.problems, Problem{f.name, line, key, fmt.Sprintf(format, args...)})
 	}
 }
 
-func line(n ast.Node) int {
+// lineOf returns the line of a node, for a mapping that of its first key; 0 if unknown.
+func lineOf(n ast.Node) int {
 	if m, ok := n.(*ast.MappingNode); ok && len(m.Values) > 0 {
 		n = m.Values[0].Key
 	} else if v, ok := n.(*ast.MappingValueNode); ok {
@@ -190,73 +193,76 @@
 	return 0
 }
 
-func under(key, name string) string {
+// joinKey returns the path of the key called name in the mapping at key.
+func joinKey(key, name string) string {
 	if key == "" {
 		return name
 	}
 	return key + "." + name
 }
 
-// Raw is a part of a file that is read later, into what only becomes known then.
+// Raw is a part of a file that is read later, when the type to read it into is known.
 type Raw struct {
-	f    *File
+	file *File
 	key  string
 	node ast.Node
 }
 
-// Given tells whether the file had anything there.
+// IsSet reports whether the file contains the part.
 func (r *Raw) Given() bool { return r.node != nil }
 
-// Into reads the part into what into points at, over what stands there already. Problems go to the file's.
-func (r *Raw) Into(into any) {
+// ReadInto reads the part into the value that target points to. Fields that the part does not contain keep their values.
+// Problems are added to those of the file.
+func (r *Raw) Into(target any) {
 	if r.node != nil {
-		r.f.value(r.key, r.node, reflect.ValueOf(into).Elem(), 0)
+		r.file.readValue(r.key, r.node, reflect.ValueOf(target).Elem(), 0)
 	}
 }
 
-// Key is where the part stands.
+// Key returns the path of the part in the file.
 func (r *Raw) Key() string { return r.key }
 
 var (
-	rawType      = reflect.TypeFor[Raw]()
-	durationType = reflect.TypeFor[time.Duration]()
-	textType     = reflect.TypeFor[encoding.TextUnmarshaler]()
+	rawType             = reflect.TypeFor[Raw]()
+	durationType        = reflect.TypeFor[time.Duration]()
+	textUnmarshalerType = reflect.TypeFor[encoding.TextUnmarshaler]()
 )
 
-// value reads one node into v.
-func (f *File) value(key string, n ast.Node, v reflect.Value, depth int) {
-	if _, ok := f.lines[key]; !ok {
-		f.lines[key] = line(n)
+// readValue reads a node into v.
+func (f *File) readValue(key string, n ast.Node, v reflect.Value, depth int) {
+	if _, ok := f.keyLines[key]; !ok {
+		f.keyLines[key] = lineOf(n)
 	}
 	if depth > maxDepth {
-		f.tell(line(n), key, "nested more than %d deep", maxDepth)
+		f.add(lineOf(n), key, "nested more than %d levels deep", maxDepth)
 		return
 	}
 	switch n.(type) {
 	case *ast.AnchorNode, *ast.AliasNode, *ast.TagNode, *ast.MergeKeyNode:
-		f.tell(line(n), key, "anchors, aliases, merges and tags are not read here; write the value out")
+		f.add(lineOf(n), key, "anchors, aliases, merge keys and tags are not supported; write the value out")
 		return
 	case *ast.NullNode:
-		f.tell(line(n), key, "has no value; leave the key out to keep the default")
+		f.add(lineOf(n), key, "has no value; leave the key out to keep the default")
 		return
 	}
 	switch {
 	case v.Type() == rawType:
 		v.Set(reflect.ValueOf(Raw{f, key, n}))
 	case v.Type() == durationType:
-		f.duration(key, n, v)
-	case reflect.PointerTo(v.Type()).Implements(textType):
-		if s, ok := f.scalar(key, n, "a text"); ok {
+		f.readDuration(key, n, v)
+	case reflect.PointerTo(v.Type()).Implements(textUnmarshalerType):
+		if s, ok := f.scalarText(key, n, "a string"); ok {
 			if err := v.Addr().Interface().(encoding.TextUnmarshaler).UnmarshalText([]byte(s)); err != nil {
-				f.tell(line(n), key, "%v", err)
+				f.add(lineOf(n), key, "%v", err)
 			}
 		}
 	default:
-		f.kind(key, n, v, depth)
+		f.readByKind(key, n, v, depth)
 	}
 }
 
-func (f *File) kind(key string, n ast.Node, v reflect.Value, depth int) {
+// readByKind reads a node into v, whose type gets no special treatment, according to the kind of the type.
+func (f *File) readByKind(key string, n ast.Node, v reflect.Value, depth int) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		inner := reflect.New(v.Type().Elem())
@@ -265,52 +271,53 @@
 		} else if d, ok := inner.Interface().(Defaulter); ok {
 			d.SetDefaults()
 		}
-		f.value(key, n, inner.Elem(), depth+1)
+		f.readValue(key, n, inner.Elem(), depth+1)
 		v.Set(inner)
 	case reflect.Struct:
-		f.structure(key, n, v, depth)
+		f.readStruct(key, n, v, depth)
 	case reflect.Slice:
-		f.list(key, n, v, depth)
+		f.readList(key, n, v, depth)
 	case reflect.Map:
-		f.mapping(key, n, v, depth)
+		f.readMap(key, n, v, depth)
 	case reflect.String:
-		if s, ok := f.scalar(key, n, "a text"); ok {
+		if s, ok := f.scalarText(key, n, "a string"); ok {
 			v.SetString(s)
 		}
 	case reflect.Bool:
 		if b, ok := n.(*ast.BoolNode); ok {
 			v.SetBool(b.Value)
 		} else {
-			f.tell(line(n), key, "must be true or false, not %s", what(n))
+			f.add(lineOf(n), key, "must be true or false, not %s", describe(n))
 		}
 	case reflect.Int, reflect.Int64, reflect.Int32, reflect.Int16, reflect.Int8:
-		if i, ok := whole(n); !ok {
-			f.tell(line(n), key, "must be a whole number, not %s", what(n))
+		if i, ok := wholeNumber(n); !ok {
+			f.add(lineOf(n), key, "must be a whole number, not %s", describe(n))
 		} else if v.OverflowInt(i) {
-			f.tell(line(n), key, "%d is out of range", i)
+			f.add(lineOf(n), key, "%d is out of range", i)
 		} else {
 			v.SetInt(i)
 		}
 	case reflect.Uint, reflect.Uint64, reflect.Uint32, reflect.Uint16, reflect.Uint8:
-		if i, ok := whole(n); !ok || i < 0 {
-			f.tell(line(n), key, "must be a whole number of 0 or more, not %s", what(n))
+		if i, ok := wholeNumber(n); !ok || i < 0 {
+			f.add(lineOf(n), key, "must be a whole number of 0 or more, not %s", describe(n))
 		} else if v.OverflowUint(uint64(i)) {
-			f.tell(line(n), key, "%d is out of range", i)
+			f.add(lineOf(n), key, "%d is out of range", i)
 		} else {
 			v.SetUint(uint64(i))
 		}
 	case reflect.Float64:
-		if x, ok := number(n); ok {
+		if x, ok := finiteNumber(n); ok {
 			v.SetFloat(x)
 		} else {
-			f.tell(line(n), key, "must be a number, not %s", what(n))
+			f.add(lineOf(n), key, "must be a number, not %s", describe(n))
 		}
 	default:
-		panic("yamlfile: " + key + " has a type that cannot be read: " + v.Type().String())
+		panic("yamlfile: " + key + ": unsupported type " + v.Type().String())
 	}
 }
 
-// Fields gives the names by which a struct's fields stand in a file, in order; fields of embedded structs are among them.
+// Fields returns the names of a struct's fields in a file, in order, and the index of each field for
+// reflect.Value.FieldByIndex. Fields of embedded structs are included.
 func Fields(t reflect.Type) (names []string, index map[string][]int) {
 	index = map[string][]int{}
 	for _, field := range reflect.VisibleFields(t) {
@@ -322,61 +329,62 @@
 	return names, index
 }
 
-func (f *File) structure(key string, n ast.Node, v reflect.Value, depth int) {
+func (f *File) readStruct(key string, n ast.Node, v reflect.Value, depth int) {
 	names, index := Fields(v.Type())
-	f.pairs(key, n, func(name string, at int, value ast.Node) {
+	f.eachPair(key, n, func(name string, line int, value ast.Node) {
 		i, ok := index[name]
 		if !ok {
-			f.tell(at, under(key, name), "unknown key%s", near(name, names))
+			f.add(line, joinKey(key, name), "unknown key%s", suggestion(name, names))
 			return
 		}
-		f.lines[under(key, name)] = at
-		f.value(under(key, name), value, v.FieldByIndex(i), depth+1)
+		f.keyLines[joinKey(key, name)] = line
+		f.readValue(joinKey(key, name), value, v.FieldByIndex(i), depth+1)
 	})
 }
 
-func (f *File) mapping(key string, n ast.Node, v reflect.Value, depth int) {
-	all := reflect.MakeMap(v.Type())
-	f.pairs(key, n, func(name string, at int, value ast.Node) {
+func (f *File) readMap(key string, n ast.Node, v reflect.Value, depth int) {
+	entries := reflect.MakeMap(v.Type())
+	f.eachPair(key, n, func(name string, line int, value ast.Node) {
 		inner := reflect.New(v.Type().Elem())
 		if d, ok := inner.Interface().(Defaulter); ok {
 			d.SetDefaults()
 		}
-		f.lines[under(key, name)] = at
-		f.value(under(key, name), value, inner.Elem(), depth+1)
-		all.SetMapIndex(reflect.ValueOf(name).Convert(v.Type().Key()), inner.Elem())
+		f.keyLines[joinKey(key, name)] = line
+		f.readValue(joinKey(key, name), value, inner.Elem(), depth+1)
+		entries.SetMapIndex(reflect.ValueOf(name).Convert(v.Type().Key()), inner.Elem())
 	})
-	v.Set(all)
+	v.Set(entries)
 }
 
-// pairs calls each for the keys of a mapping, in order.
-func (f *File) pairs(key string, n ast.Node, each func(name string, at int, value ast.Node)) {
-	var values []*ast.MappingValueNode
+// eachPair calls handle for the keys of a mapping, in order.
+func (f *File) eachPair(key string, n ast.Node, handle func(name string, line int, value ast.Node)) {
+	var pairs []*ast.MappingValueNode
 	switch m := n.(type) {
 	case *ast.MappingNode:
-		values = m.Values
+		pairs = m.Values
 	case *ast.MappingValueNode:
-		values = []*ast.MappingValueNode{m}
+		pairs = []*ast.MappingValueNode{m}
 	default:
-		f.tell(line(n), key, "must be keys with values, not %s", what(n))
+		f.add(lineOf(n), key, "must be a mapping, not %s", describe(n))
 		return
 	}
 	seen := map[string]int{}
-	for _, p := range values {
+	for _, p := range pairs {
 		name, ok := keyName(p.Key)
-		at := line(p.Key)
+		line := lineOf(p.Key)
 		switch first := seen[name]; {
 		case !ok:
-			f.tell(at, key, "a key must be a plain word")
+			f.add(line, key, "a key must be a plain scalar")
 		case first > 0:
-			f.tell(at, under(key, name), "stands here a second time; first at line %d", first)
+			f.add(line, joinKey(key, name), "duplicate key; first defined at line %d", first)
 		default:
-			seen[name] = at
-			each(name, at, p.Value)
+			seen[name] = line
+			handle(name, line, p.Value)
 		}
 	}
 }
 
+// keyName returns the text of a key, and whether the key is a plain scalar.
 func keyName(n ast.MapKeyNode) (string, bool) {
 	switch k := n.(type) {
 	case *ast.StringNode:
@@ -387,10 +395,10 @@
 	return "", false
 }
 
-func (f *File) list(key string, n ast.Node, v reflect.Value, depth int) {
+func (f *File) readList(key string, n ast.Node, v reflect.Value, depth int) {
 	s, ok := n.(*ast.SequenceNode)
 	if !ok {
-		f.tell(line(n), key, "must be a list, not %s", what(n))
+		f.add(lineOf(n), key, "must be a list, not %s", describe(n))
 		return
 	}
 	list := reflect.MakeSlice(v.Type(), len(s.Values), len(s.Values))
@@ -398,13 +406,14 @@
 		if d, ok := list.Index(i).Addr().Interface().(Defaulter); ok {
 			d.SetDefaults()
 		}
-		f.value(fmt.Sprintf("%s[%d]", key, i), entry, list.Index(i), depth+1)
+		f.readValue(fmt.Sprintf("%s[%d]", key, i), entry, list.Index(i), depth+1)
 	}
 	v.Set(list)
 }
 
-// scalar is the text of a plain value, however the library took it.
-func (f *File) scalar(key string, n ast.Node, wanted string) (string, bool) {
+// scalarText returns the text of a scalar that the library parsed as a string or a number. For any other node it adds a
+// problem that says what was expected.
+func (f *File) scalarText(key string, n ast.Node, expected string) (string, bool) {
 	switch s := n.(type) {
 	case *ast.StringNode:
 		return s.Value, true
@@ -413,24 +422,25 @@
 	case *ast.IntegerNode, *ast.FloatNode:
 		return n.GetToken().Value, true
 	}
-	f.tell(line(n), key, "must be %s, not %s", wanted, what(n))
+	f.add(lineOf(n), key, "must be %s, not %s", expected, describe(n))
 	return "", false
 }
 
-func (f *File) duration(key string, n ast.Node, v reflect.Value) {
-	s, ok := f.scalar(key, n, "a time such as 250ms")
+func (f *File) readDuration(key string, n ast.Node, v reflect.Value) {
+	s, ok := f.scalarText(key, n, "a duration such as 250ms")
 	if !ok {
 		return
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		f.tell(line(n), key, "%q is no time; write it with its unit, as in 250ms, 1.5s or 2m", s)
+		f.add(lineOf(n), key, "expected a duration with its unit, such as 250ms, 1.5s or 2m, found %q", s)
 		return
 	}
 	v.SetInt(int64(d))
 }
 
-func whole(n ast.Node) (int64, bool) {
+// wholeNumber returns the value of an integer node; false for other nodes and for integers that overflow int64.
+func wholeNumber(n ast.Node) (int64, bool) {
 	if i, ok := n.(*ast.IntegerNode); ok {
 		switch x := i.Value.(type) {
 		case int64:
@@ -442,19 +452,20 @@
 	return 0, false
 }
 
-func number(n ast.Node) (float64, bool) {
+// finiteNumber returns the value of an integer or float node; false for other nodes, NaN and infinities.
+func finiteNumber(n ast.Node) (float64, bool) {
 	if x, ok := n.(*ast.FloatNode); ok {
 		return x.Value, !math.IsNaN(x.Value) && !math.IsInf(x.Value, 0)
 	}
-	i, ok := whole(n)
+	i, ok := wholeNumber(n)
 	return float64(i), ok
 }
 
-// what describes a node for who wrote it.
-func what(n ast.Node) string {
+// describe describes a node for a problem.
+func describe(n ast.Node) string {
 	switch n.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
-		return "keys with values"
+		return "a mapping"
 	case *ast.SequenceNode:
 		return "a list"
 	}
@@ -465,45 +476,46 @@
 	return strconv.Quote(text)
 }
 
-// near names the known key that an unknown one may have been meant to be.
-func near(name string, known []string) string {
-	best, least := "", len(name)/2+1
+// suggestion returns the end of the problem about an unknown key. It names the most similar known key, or all known keys
+// if none is similar.
+func suggestion(name string, known []string) string {
+	closest, minDistance := "", len(name)/2+1
 	for _, k := range known {
-		if d := distance(name, k); d < least {
-			best, least = k, d
+		if d := editDistance(name, k); d < minDistance {
+			closest, minDistance = k, d
 		}
 	}
-	if best == "" {
-		return "; known are " + strings.Join(known, ", ")
+	if closest == "" {
+		return "; expected one of " + strings.Join(known, ", ")
 	}
-	return "; is " + best + " meant?"
+	return "; did you mean " + closest + "?"
 }
 
-// distance counts the letters to add, drop or change between two words.
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance of two strings in bytes.
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
 	}
 	for i := range len(a) {
-		last := row[0]
+		diagonal := row[0]
 		row[0] = i + 1
 		for j := range len(b) {
-			cost := last
+			cost := diagonal
 			if a[i] != b[j] {
 				cost++
 			}
-			last = row[j+1]
+			diagonal = row[j+1]
 			row[j+1] = min(row[j+1]+1, row[j]+1, cost)
 		}
 	}
 	return row[len(b)]
 }
 
-// Size is a number of bytes, written with or without a unit: 1200, 64KiB, 8MB.
+// Size is a number of bytes. It is written with or without a unit: 1200, 64KiB, 8MB.
 type Size int64
 
-// UnmarshalText reads a size.
+// UnmarshalText parses a size.
 func (s *Size) UnmarshalText(text []byte) error {
 	t := strings.TrimSpace(string(text))
 	digits := strings.TrimRight(t, "KMGiB ")
@@ -511,7 +523,7 @@
 		"GiB": 1 << 30}[strings.TrimSpace(t[len(digits):])]
 	n, err := strconv.ParseFloat(digits, 64)
 	if err != nil || !ok || n < 0 || n*unit > 1<<50 {
-		return fmt.Errorf("%q is no size; write it as in 1200, 64KiB or 8MB", t)
+		return fmt.Errorf("expected a size such as 1200, 64KiB or 8MB, found %q", t)
 	}
 	*s = Size(n * unit)
 	return nil
