--- a/cmd/gorsewellctl/load.go
+++ b/cmd/gorsewellctl/load.go
@@ -73,10 +73,10 @@
 	Seed          uint64                    `json:"seed"`
 	Service       float64                   `json:"service"`
 	Asked         float64                   `json:"asked"`
-	Broken   [5]int64                  `json:"rules_broken"`
+	Broken        [5]int64                  `json:"rules_broken"`
 	Busy          int64                     `json:"busy"`
 	Errored       int64                     `json:"errored"`
-	Lost     int64                     `json:"lost_tries"`
+	Lost          int64                     `json:"lost_tries"`
 	Unsent        int64                     `json:"unsent"`
 	Sends         int64                     `json:"sends"`
 	LatenessP50ms float64                   `json:"lateness_p50_ms"`
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config holds the settings of our own: what the platform's surroundings do not say. They stand in one YAML file,
-// deploy/gorsewell.yaml shows all of them with their defaults. Without a file everything in here is off.
+// Package config reads the gateway's own settings, those that are not part of the platform's configuration. They are in
+// one YAML file; deploy/gorsewell.yaml lists all of them with their defaults. Without a file gossip is off and the log
+// level is info.
 package config
 
 import (
@@ -13,21 +14,21 @@
 	"gorsewell/internal/yamlfile"
 )
 
-// Settings is the whole file.
+// Settings holds all settings of a file.
 type Settings struct {
 	Log    Log    `yaml:"log"`
 	Gossip Gossip `yaml:"gossip"`
 }
 
-// Log says what is logged.
+// Log holds the settings of the log.
 type Log struct {
 	Level Level `yaml:"level"`
 }
 
-// Level is the least weight of a line that is logged.
+// Level is the least severity at which a line is logged.
 type Level struct{ slog.Level }
 
-// UnmarshalText reads debug, info, warn or error.
+// UnmarshalText parses debug, info, warn or error.
 func (l *Level) UnmarshalText(text []byte) error {
 	for _, known := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
 		if (Level{known}).String() == string(text) {
@@ -35,10 +36,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%q is no level; debug, info, warn and error are", text)
+	return fmt.Errorf("expected debug, info, warn or error, found %q", text)
 }
 
-// String is the level as the file has it.
+// String returns the level in the form used in the file.
 func (l Level) String() string {
 	switch l.Level {
 	case slog.LevelDebug:
@@ -51,41 +52,42 @@
 	return "info"
 }
 
-// Gossip is how instances find one another and share what they suspect.
+// Gossip holds the settings of gossip, by which instances find one another and share what they suspect. Paths of files
+// that are not absolute are relative to the folder of the settings file.
 type Gossip struct {
 	Enabled     bool     `yaml:"enabled"`
-	Cluster     string   `yaml:"cluster"`     // only instances of the same one hear each other
-	Listen      string   `yaml:"listen"`      // host:port, for datagrams and streams
-	Advertise   string   `yaml:"advertise"`   // host:port at which others reach it; empty: as the others see it
-	Seeds       []string `yaml:"seeds"`       // host:port of instances to begin with; its own may be among them
-	Certificate string   `yaml:"certificate"` // files, beside the settings' own where they have no absolute path
-	Key         string   `yaml:"key"`
-	Authorities []string `yaml:"authorities"` // whose certificates count; two during a rotation
-
-	ProbeEvery   time.Duration `yaml:"probe_every"`
-	ProbeTimeout time.Duration `yaml:"probe_timeout"`
-	SuspectFor   time.Duration `yaml:"suspect_for"`
-	TellEvery    time.Duration `yaml:"tell_every"`
-	SyncEvery    time.Duration `yaml:"sync_every"`
-	RumourLife   time.Duration `yaml:"rumour_life"`
+	Cluster     string   `yaml:"cluster"`     // instances accept messages only from the same cluster
+	Listen      string   `yaml:"listen"`      // host:port for datagrams and streams
+	Advertise   string   `yaml:"advertise"`   // host:port at which others reach the instance; if empty, the address that they see
+	Seeds       []string `yaml:"seeds"`       // host:port of instances to contact first; may include the instance's own
+	Certificate string   `yaml:"certificate"` // file with the instance's certificate
+	Key         string   `yaml:"key"`         // file with the instance's private key
+	Authorities []string `yaml:"authorities"` // files of the authorities whose certificates are accepted; two during a rotation
+
+	ProbeEvery   time.Duration `yaml:"probe_every"`   // period of probes of members
+	ProbeTimeout time.Duration `yaml:"probe_timeout"` // after which an unanswered probe is tried through other members
+	SuspectFor   time.Duration `yaml:"suspect_for"`   // how long a suspicion lasts that others share; otherwise twice as long
+	TellEvery    time.Duration `yaml:"tell_every"`    // period of gossip rounds while there are updates to send
+	SyncEvery    time.Duration `yaml:"sync_every"`    // mean period of anti-entropy exchanges
+	RumourLife   time.Duration `yaml:"rumour_life"`   // age at which a rumour expires
 
 	Limits GossipLimits `yaml:"limits"`
 }
 
-// GossipLimits bounds what gossip may cost, and what one peer may take of it.
+// GossipLimits bounds the resources that gossip uses, and the share of them that one peer can use.
 type GossipLimits struct {
-	Members            int           `yaml:"members"`
-	Rumours            int           `yaml:"rumours"`
-	RumoursPerObserver int           `yaml:"rumours_per_observer"`
-	ObserversPerServer int           `yaml:"observers_per_server"`
-	Datagram           yamlfile.Size `yaml:"datagram"`
-	DatagramsPerTell   int           `yaml:"datagrams_per_tell"`
-	BytesPerSecond     yamlfile.Size `yaml:"bytes_per_second"`
-	ReceivedPerSecond  int           `yaml:"received_per_second"`
-	Streams            int           `yaml:"streams"`
+	Members            int           `yaml:"members"`              // members held, this instance included
+	Rumours            int           `yaml:"rumours"`              // rumours held
+	RumoursPerObserver int           `yaml:"rumours_per_observer"` // rumours held of one observer
+	ObserversPerServer int           `yaml:"observers_per_server"` // observers whose rumours about one server are held
+	Datagram           yamlfile.Size `yaml:"datagram"`             // size of a datagram without the headers of IP and UDP
+	DatagramsPerTell   int           `yaml:"datagrams_per_tell"`   // members to which one gossip round sends
+	BytesPerSecond     yamlfile.Size `yaml:"bytes_per_second"`     // bytes sent
+	ReceivedPerSecond  int           `yaml:"received_per_second"`  // datagrams received
+	Streams            int           `yaml:"streams"`              // open inbound streams
 }
 
-// Default is what holds where a file says nothing.
+// Default returns the settings that apply to keys that a file does not contain.
 func Default() *Settings {
 	return &Settings{
 		Gossip: Gossip{
@@ -111,8 +113,8 @@
 	}
 }
 
-// Load reads and checks the file at path; an empty path gives the defaults. An error that is yamlfile.Problems tells all
-// that is wrong with it, any other that it could not be read.
+// Load reads and checks the file at path; for an empty path it returns the defaults. An error of type yamlfile.Problems
+// holds all problems of the file; any other means that the file could not be read.
 func Load(path string) (*Settings, error) {
 	s := Default()
 	if path == "" {
@@ -130,7 +132,7 @@
 	return s, nil
 }
 
-// Parse reads and checks a file's text.
+// Parse reads and checks the text of a file.
 func Parse(name string, text []byte) (*Settings, error) {
 	s := Default()
 	f := yamlfile.Read(name, text, s)
@@ -140,17 +142,17 @@
 
 func (s *Settings) check(f *yamlfile.File) { s.Gossip.check(f) }
 
-// beside makes the paths of files that stand beside the settings absolute.
+// resolvePaths joins the relative paths of files to dir, the folder of the settings file.
 func (g *Gossip) resolvePaths(dir string) {
-	at := func(path *string) {
+	resolve := func(path *string) {
 		if *path != "" && !filepath.IsAbs(*path) {
 			*path = filepath.Join(dir, *path)
 		}
 	}
-	at(&g.Certificate)
-	at(&g.Key)
+	resolve(&g.Certificate)
+	resolve(&g.Key)
 	for i := range g.Authorities {
-		at(&g.Authorities[i])
+		resolve(&g.Authorities[i])
 	}
 }
 
@@ -185,30 +187,31 @@
 	}
 	for key, value := range map[string]string{"cluster": g.Cluster, "listen": g.Listen, "certificate": g.Certificate, "key": g.Key} {
 		if value == "" {
-			f.Wrong("gossip."+key, "is needed where gossip is enabled")
+			f.Wrong("gossip."+key, "is required if gossip is enabled")
 		}
 	}
 	if len(g.Cluster) > 64 {
 		f.Wrong("gossip.cluster", "is longer than 64 bytes")
 	}
 	if len(g.Authorities) == 0 {
-		f.Wrong("gossip.authorities", "needs at least one authority where gossip is enabled")
+		f.Wrong("gossip.authorities", "must name at least one authority if gossip is enabled")
 	}
 }
 
-// between tells where a value lies outside its range. The bound is named, as who wrote the value needs to know it.
-func checkRange[T int | time.Duration | yamlfile.Size](f *yamlfile.File, key string, v, least, most T) {
-	if v < least {
-		f.Wrong(key, "%v is less than %v, the least that works", v, least)
-	} else if v > most {
-		f.Wrong(key, "%v is more than %v, the most that is allowed", v, most)
+// checkRange adds a problem if a value is outside its range. The problem names the bound.
+func checkRange[T int | time.Duration | yamlfile.Size](f *yamlfile.File, key string, v, minimum, maximum T) {
+	if v < minimum {
+		f.Wrong(key, "%v is less than the minimum %v", v, minimum)
+	} else if v > maximum {
+		f.Wrong(key, "%v is more than the maximum %v", v, maximum)
 	}
 }
 
-// address checks a host and port by their form. Names are resolved only where they are used.
-func checkAddress(f *yamlfile.File, key, v string, anyHost bool) {
+// checkAddress checks the form of an address host:port, in which the host may be empty and the port 0 only if
+// allowWildcard is set. It does not resolve host names.
+func checkAddress(f *yamlfile.File, key, v string, allowWildcard bool) {
 	host, port, err := net.SplitHostPort(v)
-	if n, bad := strconv.Atoi(port); err != nil || bad != nil || n < 1 && !anyHost || n < 0 || n > 65535 || host == "" && !anyHost {
-		f.Wrong(key, "%q is no address; write it as host:port", v)
+	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 && !allowWildcard || n < 0 || n > 65535 || host == "" && !allowWildcard {
+		f.Wrong(key, "expected an address host:port, found %q", v)
 	}
 }
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -8,7 +8,7 @@
 	"gorsewell/internal/yamlfile"
 )
 
-// The keys of the settings file are in operators' files and must not change with the names of fields.
+// Operators' settings files contain these keys, so renaming a field must not change its key.
 func TestKeysOfTheSettings(t *testing.T) {
 	const want = "log log.level gossip gossip.enabled gossip.cluster gossip.listen gossip.advertise gossip.seeds gossip.certificate " +
 		"gossip.key gossip.authorities gossip.probe_every gossip.probe_timeout gossip.suspect_for gossip.tell_every " +
@@ -29,6 +29,6 @@
 	}
 	walk("", reflect.TypeFor[Settings]())
 	if got := strings.Join(keys, " "); got != want {
-		t.Errorf("the keys are\n%s\nand should be\n%s", got, want)
+		t.Errorf("got keys\n%s\nwant\n%s", got, want)
 	}
 }
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -8,22 +8,29 @@
 	"gorsewell/choice"
 )
 
-// instance is one gateway's end of the wire; it is the gateway's Host.
+// instance is one gateway of the simulator. It implements choice.Host: it encodes the gateway's calls as actions.
 type instance struct {
 	conn          *conn
 	id            uint16
-	startClock    uint64        // the clock at its start
-	positionEpoch time.Duration // where positions count from
-	opTypeCount   int           // how many op types there are
-	reportNames   []string      // of the load report's values
+	startClock    uint64        // simulator clock at the instance's start, in nanoseconds
+	positionEpoch time.Duration // time since the start at which positions in the log begin
+	opTypeCount   int
+	reportNames   []string // names of the values in a load report
 	gateway       *choice.Gateway
 }
 
-func (in *instance) now() time.Duration                 { return in.sinceStart(in.conn.clock) }
-func (in *instance) sinceStart(at uint64) time.Duration { return time.Duration(at - in.startClock) }
-func (in *instance) clockAt(at time.Duration) uint64    { return in.startClock + uint64(at) }
+// now returns the time of the frame being handled, since the instance's start.
+func (in *instance) now() time.Duration { return in.sinceStart(in.conn.clock) }
 
-// caught reports a panic of the decision module instead of ending the process.
+// sinceStart converts a simulator clock time to a time since the instance's start.
+func (in *instance) sinceStart(clock uint64) time.Duration {
+	return time.Duration(clock - in.startClock)
+}
+
+// clockAt converts a time since the instance's start to a simulator clock time.
+func (in *instance) clockAt(at time.Duration) uint64 { return in.startClock + uint64(at) }
+
+// recoverPanic recovers from a panic of the decision module and reports it as an action, so that the process goes on.
 func (in *instance) recoverPanic(err *error) {
 	if p := recover(); p != nil {
 		in.appendText(actionBug, fmt.Sprint(p))
@@ -31,7 +38,7 @@
 	}
 }
 
-// report hands over the values of a load report that are known here; unknown ones are skipped.
+// passReport passes the load report of a server to the gateway. It skips values with unknown names.
 func (in *instance) passReport(b []byte, server uint32) {
 	n := min(int(b[0]), len(in.reportNames), 4)
 	if n == 0 {
@@ -42,9 +49,9 @@
 		v := float32At(b[1+4*i:])
 		switch in.reportNames[i] {
 		case "x0":
-			// The float may have been rounded up: the next one below never claims too much.
-			below := math.Nextafter32(v, 0)
-			pos, seen = in.positionEpoch+time.Duration(float64(below)*float64(time.Second)), true
+			// The value may have been rounded up. The next smaller float is never ahead of the server's position.
+			lowerBound := math.Nextafter32(v, 0)
+			pos, seen = in.positionEpoch+time.Duration(float64(lowerBound)*float64(time.Second)), true
 		case "x1":
 			role, seen = choice.Replica, true
 			if v == 1 {
@@ -57,14 +64,14 @@
 	}
 }
 
-// The codes of actions.
+// Codes of actions.
 const (
 	actionCloseIdle = 0
 	actionTimer     = 1
 	actionCancel    = 2
 	actionSend      = 3
 	actionError     = 4
-	actionBug       = 5
+	actionBug       = 5 // a panic of the decision module
 	actionAskList   = 6
 	actionLog       = 7
 	actionBusyReply = 8
@@ -72,18 +79,19 @@
 	actionProbe     = 11
 )
 
-// record appends an action and returns its 24 bytes, with the fields still zero.
+// appendAction appends an action to the reply and returns its record, in which only the code and the instance are set.
 func (in *instance) appendAction(code byte) []byte {
-	x := in.conn
-	n := len(x.actionRecords)
-	x.actionRecords = append(x.actionRecords, make([]byte, actionSize)...)
-	x.actionCount++
-	r := x.actionRecords[n:]
+	c := in.conn
+	n := len(c.actionRecords)
+	c.actionRecords = append(c.actionRecords, make([]byte, actionSize)...)
+	c.actionCount++
+	r := c.actionRecords[n:]
 	r[0] = code
 	bigEndian.PutUint16(r[1:], in.id)
 	return r
 }
 
+// appendText appends an action with a text. The text goes to the tail of the reply.
 func (in *instance) appendText(code byte, line string) {
 	r := in.appendAction(code)
 	bigEndian.PutUint32(r[3:], uint32(len(in.conn.actionTail)))
@@ -91,50 +99,61 @@
 	in.conn.actionTail = append(in.conn.actionTail, line...)
 }
 
-// Send implements choice.Host. On the bench's wire a send begins when it is decided.
+// Send implements choice.Host. In the simulator a send begins at once, so the time by which it has to begin has no effect.
 func (in *instance) Send(op, server uint32, _ time.Duration) {
 	r := in.appendAction(actionSend)
 	bigEndian.PutUint32(r[3:], op)
 	bigEndian.PutUint32(r[7:], server)
 }
 
-func (in *instance) BusyReply(op uint32, comeBackIn time.Duration) {
+// BusyReply implements choice.Host.
+func (in *instance) BusyReply(op uint32, retryAfter time.Duration) {
 	r := in.appendAction(actionBusyReply)
 	bigEndian.PutUint32(r[3:], op)
-	bigEndian.PutUint64(r[7:], uint64(comeBackIn))
+	bigEndian.PutUint64(r[7:], uint64(retryAfter))
 }
 
+// Error implements choice.Host.
 func (in *instance) Error(op uint32) { bigEndian.PutUint32(in.appendAction(actionError)[3:], op) }
 
+// Cancel implements choice.Host.
 func (in *instance) Cancel(op uint32, send uint8) {
 	r := in.appendAction(actionCancel)
 	bigEndian.PutUint32(r[3:], op)
 	r[7] = send
 }
 
-// Withdraw implements choice.Host: every send has begun.
+// Withdraw implements choice.Host. It does nothing, as every send has begun.
 func (in *instance) Withdraw(uint32) {}
 
+// Probe implements choice.Host.
 func (in *instance) Probe(server uint32) {
 	bigEndian.PutUint32(in.appendAction(actionProbe)[3:], server)
 }
 
+// Timer implements choice.Host.
 func (in *instance) Timer(id uint32, at time.Duration) {
 	r := in.appendAction(actionTimer)
 	bigEndian.PutUint32(r[3:], id)
 	bigEndian.PutUint64(r[7:], in.clockAt(at))
 }
 
-func (in *instance) AskList()   { in.appendAction(actionAskList) }
+// AskList implements choice.Host.
+func (in *instance) AskList() { in.appendAction(actionAskList) }
+
+// WatchList implements choice.Host.
 func (in *instance) WatchList() { in.appendAction(actionWatchList)[3] = 1 }
 
-// Forget implements choice.Host: the bench keeps no names of its own.
+// Forget implements choice.Host. It does nothing, as nothing is kept of a server.
 func (in *instance) Forget(uint32) {}
 
-// Trouble implements choice.Host: gateways on the bench share nothing.
+// Trouble implements choice.Host. It does nothing, as the simulator's gateways do not use gossip.
 func (in *instance) Trouble(uint32, choice.Trouble) {}
 
+// CloseIdle implements choice.Host.
 func (in *instance) CloseIdle(server uint32) {
 	bigEndian.PutUint32(in.appendAction(actionCloseIdle)[3:], server)
 }
+
+// Log implements choice.Host.
 func (in *instance) Log(line string) { in.appendText(actionLog, line) }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,10 @@
-// Package simwire speaks the bench's binary wire: it decodes events into calls of a gateway's
-// methods and encodes what the gateway does as actions.
+// Package simwire implements the simulator's binary protocol. It decodes events into calls of the decision module,
+// package choice, and encodes the calls that the module makes to its Host as actions. One connection carries the events
+// and actions of many gateways, called instances.
+//
+// The input consists of frames: a header, records of fixed size, one for each event, and a tail of variable data that
+// records refer to by offset and length. Each frame gets one reply of the same structure with records of actions.
+// Numbers are big-endian.
 package simwire
 
 import (
@@ -17,103 +22,107 @@
 )
 
 const (
-	headerSize    = 20
-	eventSize     = 48
-	actionSize    = 24
-	listEntrySize = 25
-	maxLists      = 16
+	headerSize    = 20 // bytes of a frame's header
+	eventSize     = 48 // bytes of an event record
+	actionSize    = 24 // bytes of an action record
+	listEntrySize = 25 // bytes of a server in a list
+	maxLists      = 16 // lists stored by number
 )
 
 var bigEndian = binary.BigEndian
 
+// conn is the connection to the simulator.
 type conn struct {
 	input         *bufio.Reader
-	frame         bytes.Buffer
-	tail          []byte // the tail of the frame being read
-	clock         uint64
-	lists         [maxLists][]byte
-	listStored    [maxLists]bool
+	frame         bytes.Buffer     // records and tail of the frame being handled
+	tail          []byte           // tail of the frame being handled
+	clock         uint64           // simulator clock of that frame, in nanoseconds
+	lists         [maxLists][]byte // entries of the stored lists, by number
+	listStored    [maxLists]bool   // whether the list of that number has been sent; it may be empty
 	instances     map[uint16]*instance
-	listed        []choice.Listed // reused for each list handed over
+	listed        []choice.Listed // reused for each list passed to a gateway
 	actionRecords []byte          // records of the reply
-	actionTail    []byte
-	actionCount   uint32
+	actionTail    []byte          // tail of the reply
+	actionCount   uint32          // number of records of the reply
 }
 
-// Serve answers batches from r on w until r ends. An error tells what is malformed and where.
+// Serve handles the frames from r and writes the replies to w until r ends. It returns an error that says what is
+// malformed and in which frame, or that the reply could not be written.
 func Serve(r io.Reader, w io.Writer) error {
-	x := &conn{input: bufio.NewReaderSize(r, 1<<16), instances: map[uint16]*instance{}}
+	c := &conn{input: bufio.NewReaderSize(r, 1<<16), instances: map[uint16]*instance{}}
 	for n := 1; ; n++ {
-		batch, err := x.readFrame()
+		batch, err := c.readFrame()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("frame %d: %w", n, err)
 		}
-		if err := x.writeReply(w, batch); err != nil {
+		if err := c.writeReply(w, batch); err != nil {
 			return err
 		}
 	}
 }
 
-// read takes one frame and hands each of its events over.
-func (x *conn) readFrame() (batch uint32, err error) {
+// readFrame reads one frame and handles its events.
+func (c *conn) readFrame() (batch uint32, err error) {
 	var head [headerSize]byte
-	if _, err := io.ReadFull(x.input, head[:]); err != nil {
+	if _, err := io.ReadFull(c.input, head[:]); err != nil {
 		if err == io.ErrUnexpectedEOF {
 			return 0, errors.New("input ends inside the header")
 		}
 		return 0, err
 	}
 	size, count := bigEndian.Uint32(head[0:]), bigEndian.Uint32(head[12:])
-	x.clock, batch = bigEndian.Uint64(head[4:]), bigEndian.Uint32(head[16:])
+	c.clock, batch = bigEndian.Uint64(head[4:]), bigEndian.Uint32(head[16:])
 	if size < headerSize {
 		return 0, fmt.Errorf("length %d is shorter than the header", size)
 	}
-	body := int64(size) - headerSize
-	if int64(count)*eventSize > body {
-		return 0, fmt.Errorf("%d records do not fit into %d bytes", count, body)
+	bodySize := int64(size) - headerSize
+	if int64(count)*eventSize > bodySize {
+		return 0, fmt.Errorf("%d records do not fit into %d bytes", count, bodySize)
 	}
-	x.frame.Reset()
-	// CopyN grows the buffer only as bytes arrive, whatever length the header claims.
-	if _, err := io.CopyN(&x.frame, x.input, body); err != nil {
+	c.frame.Reset()
+	// CopyN grows the buffer only as bytes arrive, so that a wrong length in the header cannot cause a large allocation.
+	if _, err := io.CopyN(&c.frame, c.input, bodySize); err != nil {
 		return 0, errors.New("input ends inside the frame")
 	}
-	all := x.frame.Bytes()
-	records := all[:int(count)*eventSize]
-	x.tail = all[len(records):]
-	x.actionRecords, x.actionTail, x.actionCount = x.actionRecords[:0], x.actionTail[:0], 0
+	body := c.frame.Bytes()
+	records := body[:int(count)*eventSize]
+	c.tail = body[len(records):]
+	c.actionRecords, c.actionTail, c.actionCount = c.actionRecords[:0], c.actionTail[:0], 0
 	for i := 0; i < len(records); i += eventSize {
-		if err := x.handleEvent(records[i : i+eventSize]); err != nil {
+		if err := c.handleEvent(records[i : i+eventSize]); err != nil {
 			return 0, fmt.Errorf("record %d: %w", i/eventSize, err)
 		}
 	}
 	return batch, nil
 }
 
-func (x *conn) writeReply(w io.Writer, batch uint32) error {
+// writeReply writes the reply to the frame with the given batch number.
+func (c *conn) writeReply(w io.Writer, batch uint32) error {
 	var head [12]byte
-	bigEndian.PutUint32(head[0:], uint32(len(head)+len(x.actionRecords)+len(x.actionTail)))
-	bigEndian.PutUint32(head[4:], x.actionCount)
+	bigEndian.PutUint32(head[0:], uint32(len(head)+len(c.actionRecords)+len(c.actionTail)))
+	bigEndian.PutUint32(head[4:], c.actionCount)
 	bigEndian.PutUint32(head[8:], batch)
-	x.actionRecords = append(x.actionRecords, x.actionTail...)
-	if _, err := w.Write(append(head[:], x.actionRecords...)); err != nil {
+	c.actionRecords = append(c.actionRecords, c.actionTail...)
+	if _, err := w.Write(append(head[:], c.actionRecords...)); err != nil {
 		return fmt.Errorf("reply: %w", err)
 	}
 	return nil
 }
 
-// bytesAt returns n units of the tail from the place that the field names.
-func (x *conn) tailBytes(field []byte, unit int) ([]byte, error) {
-	off, n := int64(bigEndian.Uint32(field)), int64(bigEndian.Uint32(field[4:]))*int64(unit)
-	if off+n > int64(len(x.tail)) {
-		return nil, fmt.Errorf("offset %d with %d bytes lies outside the tail of %d", off, n, len(x.tail))
+// tailBytes returns the part of the frame's tail that a field refers to by its offset in bytes and its number of units,
+// which are unitSize bytes each.
+func (c *conn) tailBytes(field []byte, unitSize int) ([]byte, error) {
+	offset, length := int64(bigEndian.Uint32(field)), int64(bigEndian.Uint32(field[4:]))*int64(unitSize)
+	if offset+length > int64(len(c.tail)) {
+		return nil, fmt.Errorf("offset %d and length %d are outside the tail of %d bytes", offset, length, len(c.tail))
 	}
-	return x.tail[off : off+n], nil
+	return c.tail[offset : offset+length], nil
 }
 
-// The codes of events.
+// Codes of events. eventPeer and eventFirst are ignored.
 const (
 	eventClientGone = iota
 	eventOp
@@ -128,24 +137,25 @@
 	eventFirst
 )
 
-func (x *conn) handleEvent(b []byte) (err error) {
+// handleEvent handles the event in the record b.
+func (c *conn) handleEvent(b []byte) (err error) {
 	code := b[0]
 	if code == eventListData {
-		return x.storeList(b)
+		return c.storeList(b)
 	}
 	if code > eventFirst {
 		return fmt.Errorf("unknown event code %d", code)
 	}
-	who := bigEndian.Uint16(b[1:])
+	id := bigEndian.Uint16(b[1:])
 	if code == eventStart {
-		return x.startInstance(who, b)
+		return c.startInstance(id, b)
 	}
-	in := x.instances[who]
+	in := c.instances[id]
 	if in == nil {
-		return fmt.Errorf("event %d for instance %d, which is not running", code, who)
+		return fmt.Errorf("event code %d is for instance %d, which is not running", code, id)
 	}
 	if code == eventStop {
-		delete(x.instances, who)
+		delete(c.instances, id)
 		return nil
 	}
 	defer in.recoverPanic(&err)
@@ -155,14 +165,14 @@
 		g.ClientGone(now, bigEndian.Uint32(b[3:]))
 	case eventOp:
 		if int(b[7]) >= in.opTypeCount {
-			return fmt.Errorf("op type %d of %d", b[7], in.opTypeCount)
+			return fmt.Errorf("op type %d is unknown: the settings define %d", b[7], in.opTypeCount)
 		}
 		g.Op(now, bigEndian.Uint32(b[3:]), b[7], bigEndian.Uint64(b[12:]), in.sinceStart(bigEndian.Uint64(b[20:])),
 			uint16(float32At(b[36:])), milliseconds(float64(float32At(b[40:]))), b[44]&2 != 0)
 	case eventTimer:
 		g.Timer(now, bigEndian.Uint32(b[3:]))
 	case eventList:
-		return x.passList(in, b)
+		return c.passList(in, b)
 	case eventProbeEnded:
 		result, err := resultOf(bigEndian.Uint16(b[7:]))
 		if err != nil {
@@ -176,33 +186,35 @@
 			return err
 		}
 		in.passReport(b[27:], bigEndian.Uint32(b[8:]))
-		note := bigEndian.Uint32(b[23:])
-		pos := in.positionEpoch + time.Duration(note>>2)*time.Millisecond
-		if note>>2 == 0 {
+		status := bigEndian.Uint32(b[23:]) // upper 30 bits: position in milliseconds, 0 if unknown; lower 2: role
+		pos := in.positionEpoch + time.Duration(status>>2)*time.Millisecond
+		if status>>2 == 0 {
 			pos = choice.LongPast
 		}
 		g.Answer(now, bigEndian.Uint32(b[3:]), b[7], bigEndian.Uint32(b[8:]), result,
-			time.Duration(bigEndian.Uint64(b[14:])), b[22] != 0, roleOf(note&3), pos)
+			time.Duration(bigEndian.Uint64(b[14:])), b[22] != 0, roleOf(status&3), pos)
 	}
 	return nil
 }
 
-func (x *conn) storeList(b []byte) error {
+// storeList stores a list under its number, for later events that refer to it.
+func (c *conn) storeList(b []byte) error {
 	n := bigEndian.Uint32(b[1:])
 	if n >= maxLists {
-		return fmt.Errorf("list number %d is over %d", n, maxLists-1)
+		return fmt.Errorf("list number %d is more than the maximum %d", n, maxLists-1)
 	}
-	entries, err := x.tailBytes(b[5:], listEntrySize)
+	entries, err := c.tailBytes(b[5:], listEntrySize)
 	if err != nil {
 		return err
 	}
-	x.lists[n] = append(x.lists[n][:0], entries...)
-	x.listStored[n] = true
+	c.lists[n] = append(c.lists[n][:0], entries...)
+	c.listStored[n] = true
 	return nil
 }
 
-func (x *conn) startInstance(who uint16, b []byte) (err error) {
-	text, err := x.tailBytes(b[11:], 1)
+// startInstance starts a gateway with the settings that the event carries.
+func (c *conn) startInstance(id uint16, b []byte) (err error) {
+	text, err := c.tailBytes(b[11:], 1)
 	if err != nil {
 		return err
 	}
@@ -210,34 +222,35 @@
 	if err != nil {
 		return err
 	}
-	told, err := values.Read()
+	settings, err := values.Read()
 	if err != nil {
 		return err
 	}
-	told.Seed = bigEndian.Uint64(b[3:])
-	in := &instance{conn: x, id: who, startClock: x.clock, opTypeCount: len(told.OpTypes), reportNames: told.ReportNames}
-	if told.PositionEpoch > 0 {
-		in.positionEpoch = in.sinceStart(told.PositionEpoch)
+	settings.Seed = bigEndian.Uint64(b[3:])
+	in := &instance{conn: c, id: id, startClock: c.clock, opTypeCount: len(settings.OpTypes), reportNames: settings.ReportNames}
+	if settings.PositionEpoch > 0 {
+		in.positionEpoch = in.sinceStart(settings.PositionEpoch)
 	}
-	x.instances[who] = in
+	c.instances[id] = in
 	defer in.recoverPanic(&err)
-	in.gateway = choice.New(in, &told.Deployment)
+	in.gateway = choice.New(in, &settings.Deployment)
 	return nil
 }
 
-func (x *conn) passList(in *instance, b []byte) error {
+// passList passes the list that an event refers to, or the failure to get one, to the gateway.
+func (c *conn) passList(in *instance, b []byte) error {
 	scopes := [...]choice.ListScope{choice.ListCached, choice.ListFull, choice.ListFailed, choice.ListChanges}
 	if int(b[11]) >= len(scopes) {
 		return fmt.Errorf("unknown list scope %d", b[11])
 	}
 	scope := scopes[b[11]]
-	x.listed = x.listed[:0]
+	c.listed = c.listed[:0]
 	if scope != choice.ListFailed {
 		n := bigEndian.Uint32(b[3:])
-		if n >= maxLists || !x.listStored[n] {
+		if n >= maxLists || !c.listStored[n] {
 			return fmt.Errorf("list number %d was never sent", n)
 		}
-		for e := x.lists[n]; len(e) > 0; e = e[listEntrySize:] {
+		for e := c.lists[n]; len(e) > 0; e = e[listEntrySize:] {
 			state := choice.Gone
 			switch e[24] {
 			case 0:
@@ -249,15 +262,15 @@
 				return fmt.Errorf("unknown server status %d", e[24])
 			}
 			started := choice.LongPast
-			if at := bigEndian.Uint64(e[5:]); at != 0 {
-				started = in.sinceStart(at)
+			if clock := bigEndian.Uint64(e[5:]); clock != 0 {
+				started = in.sinceStart(clock)
 			}
-			x.listed = append(x.listed, choice.Listed{ID: bigEndian.Uint32(e[20:]), Group: bigEndian.Uint16(e[17:]),
+			c.listed = append(c.listed, choice.Listed{ID: bigEndian.Uint32(e[20:]), Group: bigEndian.Uint16(e[17:]),
 				Zone: e[0], Kind: e[19], Primary: float32At(e[1:]) == 1, State: state, Started: started,
 				Weight: float32At(e[13:])})
 		}
 	}
-	in.gateway.List(in.now(), scope, x.listed)
+	in.gateway.List(in.now(), scope, c.listed)
 	return nil
 }
 
@@ -265,8 +278,8 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func roleOf(n uint32) choice.Role {
-	switch n {
+func roleOf(code uint32) choice.Role {
+	switch code {
 	case 1:
 		return choice.Primary
 	case 2:
@@ -275,8 +288,9 @@
 	return choice.RoleUnknown
 }
 
-func resultOf(rc uint16) (choice.Result, error) {
-	switch rc {
+// resultOf returns the result for an outcome code of the protocol.
+func resultOf(code uint16) (choice.Result, error) {
+	switch code {
 	case 0:
 		return choice.Acked, nil
 	case 5:
@@ -296,5 +310,5 @@
 	case 2:
 		return choice.Declined, nil
 	}
-	return 0, fmt.Errorf("unknown outcome %d", rc)
+	return 0, fmt.Errorf("unknown outcome code %d", code)
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	if got := hex.EncodeToString(out.Bytes()); got != "0000000c0000000000000001" {
-		t.Errorf("reply %s", got)
+		t.Errorf("got reply %s, want one without records for batch 1", got)
 	}
 }
 
@@ -39,17 +39,17 @@
 	if err := Serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	// A watch and a timer 5 ms after the clock of 100 ns, both for instance 3.
+	// For instance 3, an action that watches the list and one that sets a timer 5 ms after the clock time of 100 ns.
 	want := "0000003c0000000200000009" + "0a000301" + strings.Repeat("00", 20) +
 		"01000300000000" + "00000000004c4ba4" + strings.Repeat("00", 9)
 	if got := hex.EncodeToString(out.Bytes()); got != want {
-		t.Errorf("reply %s, want %s", got, want)
+		t.Errorf("got reply %s, want %s", got, want)
 	}
 }
 
 func TestServeRejectsMalformedInput(t *testing.T) {
 	pad := strings.Repeat("00", 47)
-	for _, c := range []struct{ in, want string }{
+	for _, c := range []struct{ input, want string }{
 		{"0000", "inside the header"},
 		{"00000008 0000000000000000 00000000 00000001", "shorter than the header"},
 		{"ffffffff 0000000000000000 00000000 00000001 00", "inside the frame"},
@@ -60,21 +60,21 @@
 			"outside the tail"},
 		{"00000044 0000000000000000 00000001 00000001 08 00000010" + strings.Repeat("00", 43), "list number 16"},
 	} {
-		err := Serve(bytes.NewReader(decodeHex(t, c.in)), &bytes.Buffer{})
+		err := Serve(bytes.NewReader(decodeHex(t, c.input)), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want %q", c.in, err, c.want)
+			t.Errorf("input %s: got error %v, want %q", c.input, err, c.want)
 		}
 	}
 }
 
 func TestPanicIsReportedAsBug(t *testing.T) {
-	x := &conn{instances: map[uint16]*instance{}}
-	x.instances[3] = &instance{conn: x, id: 3} // no gateway: any call panics
+	c := &conn{instances: map[uint16]*instance{}}
+	c.instances[3] = &instance{conn: c, id: 3} // without a gateway every call panics
 	timer := append(decodeHex(t, "05 0003 00000000"), make([]byte, 41)...)
-	if err := x.handleEvent(timer); err != nil {
+	if err := c.handleEvent(timer); err != nil {
 		t.Fatal(err)
 	}
-	if len(x.actionRecords) != actionSize || x.actionRecords[0] != actionBug || !strings.Contains(string(x.actionTail), "nil pointer") {
-		t.Errorf("records %x, text %q", x.actionRecords, x.actionTail)
+	if len(c.actionRecords) != actionSize || c.actionRecords[0] != actionBug || !strings.Contains(string(c.actionTail), "nil pointer") {
+		t.Errorf("got records %x and text %q, want one bug action with the panic's text", c.actionRecords, c.actionTail)
 	}
 }
