--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,5 @@
-// Command adapter runs many gateways' decision modules on the bench's wire.
+// Command adapter runs the decision modules of many gateways for the simulator. It reads events from standard input and
+// writes actions to standard output.
 package main
 
 import (
--- a/cmd/gorsewellctl/experiment.go
+++ b/cmd/gorsewellctl/experiment.go
@@ -11,16 +11,16 @@
 )
 
 func experimentCommand() *cobra.Command {
-	all := &cobra.Command{
+	c := &cobra.Command{
 		Use:   "experiment",
-		Short: "Play experiments in the emulator and tell what came of them",
+		Short: "Run experiments in the emulator and print their results",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
-			return usageError{errors.New("experiment needs one of run and metrics")}
+			return usageError{errors.New("expected a sub-command of experiment: run or metrics")}
 		},
 	}
-	all.AddCommand(experimentRun(), experimentMetrics())
-	return all
+	c.AddCommand(experimentRun(), experimentMetrics())
+	return c
 }
 
 func experimentRun() *cobra.Command {
@@ -28,10 +28,10 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "run FILE",
-		Short: "Play an experiment: every arm with every seed",
-		Long: "Plays every arm of an experiment with every seed, runs side by side on all cores, and tells the figures with their intervals.\n" +
-			"The same file and seeds give the same figures on any machine. A play that was interrupted goes on where it stopped, if it is\n" +
-			"given the same folder. Exit code 3: it ran, and an expectation fell short.",
+		Short: "Run every arm of an experiment with every seed",
+		Long: "Runs every arm of an experiment with every seed, in parallel on all cores, and prints the metrics with their intervals.\n" +
+			"The same file and seeds give the same results on any machine. An experiment that was interrupted resumes where it stopped\n" +
+			"if --out names the same folder. Exit code 3: the experiment ran, and an expectation was not met.",
 		Example: "  gorsewellctl experiment run experiments/gossip-faults.yaml --out /tmp/faults\n" +
 			"  gorsewellctl experiment run experiments/gossip-liars.yaml --seeds 3 --json",
 		Args: checkArgs(cobra.ExactArgs(1)),
@@ -41,7 +41,7 @@
 				return err
 			}
 			if isTerminal(os.Stderr) {
-				o.Progress = func(done, all int) { fmt.Fprintf(os.Stderr, "\r%s: %d of %d runs ", e.Name, done, all) }
+				o.Progress = func(done, total int) { fmt.Fprintf(os.Stderr, "\r%s: %d of %d runs ", e.Name, done, total) }
 			}
 			r, err := e.Play(c.Context(), o)
 			if o.Progress != nil {
@@ -61,18 +61,18 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&o.Out, "out", "", "folder for the result, its table, its charts and the runs")
-	c.Flags().IntVar(&o.Seeds, "seeds", 0, "number of seeds, instead of the file's")
-	c.Flags().Uint64Var(&o.SeedFrom, "seed-from", 0, "first seed, instead of the file's")
-	c.Flags().IntVar(&o.Workers, "workers", 0, "runs at a time; all cores if 0")
-	c.Flags().BoolVar(&asJSON, "json", false, "print one object instead of tables")
+	c.Flags().StringVar(&o.Out, "out", "", "folder to write the result, its table, its charts and the runs to")
+	c.Flags().IntVar(&o.Seeds, "seeds", 0, "number of seeds; the file's if 0")
+	c.Flags().Uint64Var(&o.SeedFrom, "seed-from", 0, "first seed; the file's if 0")
+	c.Flags().IntVar(&o.Workers, "workers", 0, "number of parallel runs; one per core if 0")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the result as one JSON object instead of tables")
 	return c
 }
 
 func experimentMetrics() *cobra.Command {
 	return &cobra.Command{
 		Use:   "metrics",
-		Short: "List the metrics that expectations and charts can name",
+		Short: "List the metrics for expectations and charts",
 		Args:  checkArgs(cobra.NoArgs),
 		Run: func(c *cobra.Command, _ []string) {
 			for _, m := range experiment.MetricDocs() {
--- a/cmd/gorsewellctl/load.go
+++ b/cmd/gorsewellctl/load.go
@@ -22,10 +22,10 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "load FILE",
-		Short: "Play an arm of an experiment on sockets of this machine",
-		Long: "Plays an arm of an experiment on sockets: stand-in servers and a list service in this process, a gateway process for each\n" +
-			"instance, and clients that ask at the times that were drawn before, whatever became of earlier ops. It takes as long as the\n" +
-			"day. Latencies count from the intended time of an op; how late this end itself was is told beside them.",
+		Short: "Run an arm of an experiment over sockets on this machine",
+		Long: "Runs an arm of an experiment in real time over sockets: stand-in servers, discovery and clients in this process, and one\n" +
+			"gateway process for each instance. Clients send ops at times that are fixed in advance, no matter how earlier ops ended (open\n" +
+			"loop). Latencies are measured from the intended time of an op; the delay with which this process sent the ops is reported too.",
 		Example: "  gorsewellctl load experiments/loopback-gossip.yaml --arm with --program bin/gorsewell",
 		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -36,16 +36,16 @@
 			a := &e.Arms[0]
 			if arm != "" {
 				if a = e.Arm(arm); a == nil {
-					return usageError{fmt.Errorf("--arm %q: %s has none of that name", arm, args[0])}
+					return usageError{fmt.Errorf("--arm %q: %s has no arm of this name", arm, args[0])}
 				}
 			}
 			if a.Decides.Policy != "" && a.Decides.Policy != "module" {
-				return usageError{fmt.Errorf("arm %s decides by %q; on sockets only the module does", a.Name, a.Decides.Policy)}
+				return usageError{fmt.Errorf("arm %s has policy %q; over sockets only module is supported", a.Name, a.Decides.Policy)}
 			}
 			if _, err := os.Stat(program); err != nil {
 				return usageError{fmt.Errorf("--program: %w", err)}
 			}
-			slog.SetLogLoggerLevel(slog.LevelError) // the rig's own instances have nothing to tell here
+			slog.SetLogLoggerLevel(slog.LevelError) // hides the log lines of gossip instances in this process
 			r, err := loopback.Play(c.Context(), loopback.Day{World: a.World, Faults: a.Faults, Gossip: a.Decides.Gossip, Seed: seed, Program: program,
 				Warm: warm, Keep: keep})
 			if err != nil {
@@ -58,59 +58,61 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&arm, "arm", "", "which arm; the file's first if empty")
+	c.Flags().StringVar(&arm, "arm", "", "name of the arm; the file's first if empty")
 	c.Flags().StringVar(&program, "program", "bin/gorsewell", "the gateway's binary")
-	c.Flags().StringVar(&keep, "keep", "", "folder for the gateways' logs")
-	c.Flags().Uint64Var(&seed, "seed", 1, "what chance draws from")
-	c.Flags().DurationVar(&warm, "warm", 5*time.Second, "how long gateways run before the first op")
-	c.Flags().BoolVar(&asJSON, "json", false, "print one object instead of text")
+	c.Flags().StringVar(&keep, "keep", "", "folder to keep the gateways' logs in; none are kept if empty")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the random numbers")
+	c.Flags().DurationVar(&warm, "warm", 5*time.Second, "time that gateways run before the first op")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the result as one JSON object instead of text")
 	return c
 }
 
-// day is a day on sockets as an object.
+// loadSummary is the result of a run in the form printed with --json.
 type loadSummary struct {
 	Arm           string                    `json:"arm"`
 	Seed          uint64                    `json:"seed"`
-	Service       float64                   `json:"service"`
-	Asked         float64                   `json:"asked"`
-	Broken        [5]int64                  `json:"rules_broken"`
-	Busy          int64                     `json:"busy"`
-	Errored       int64                     `json:"errored"`
-	Lost          int64                     `json:"lost_tries"`
-	Unsent        int64                     `json:"unsent"`
-	Sends         int64                     `json:"sends"`
-	LatenessP50ms float64                   `json:"lateness_p50_ms"`
-	LatenessP99ms float64                   `json:"lateness_p99_ms"`
-	Types         map[string]typeSummary    `json:"types"`
-	Gossip        map[string]counterSummary `json:"gossip,omitempty"`
-	Stories       []string                  `json:"stories,omitempty"`
+	Service       float64                   `json:"service"`           // share of the value of all ops that was earned
+	Asked         float64                   `json:"asked"`             // ops
+	Broken        [5]int64                  `json:"rules_broken"`      // violations of each rule of package choice
+	Busy          int64                     `json:"busy"`              // busy replies
+	Errored       int64                     `json:"errored"`           // errors
+	Lost          int64                     `json:"lost_tries"`        // tries that ended without an answer
+	Unsent        int64                     `json:"unsent"`            // ops that this process could not send in time
+	Sends         int64                     `json:"sends"`             // ops' attempts at servers
+	LatenessP50ms float64                   `json:"lateness_p50_ms"`   // delay of sending an op after its intended time
+	LatenessP99ms float64                   `json:"lateness_p99_ms"`   // likewise
+	Types         map[string]typeSummary    `json:"types"`             // by the name of the op type
+	Gossip        map[string]counterSummary `json:"gossip,omitempty"`  // by the name of the counter
+	Stories       []string                  `json:"stories,omitempty"` // descriptions of violations of the rules
 }
 
+// typeSummary is the result for one op type.
 type typeSummary struct {
-	Service float64 `json:"service"`
-	P50ms   float64 `json:"p50_ms"`
+	Service float64 `json:"service"` // share of the value of its ops that was earned
+	P50ms   float64 `json:"p50_ms"`  // of the latency
 	P99ms   float64 `json:"p99_ms"`
 }
 
-// sumOfAll is a counter over all instances that told it.
+// counterSummary is the sum and the maximum of a counter over all instances that logged it.
 type counterSummary struct {
 	Sum int64 `json:"sum"`
 	Max int64 `json:"most"`
 }
 
+// summarize summarizes the result of a run.
 func summarize(arm string, seed uint64, r *loopback.Result) loadSummary {
 	d := loadSummary{Arm: arm, Seed: seed, Service: r.Service(), Asked: r.Asked, Broken: r.Broken, Busy: r.Busy, Errored: r.Errored, Lost: r.Lost, Unsent: r.Unsent,
 		Sends: r.Sends, LatenessP50ms: float64(r.Lateness.ValueAtQuantile(50)) / 1000, LatenessP99ms: float64(r.Lateness.ValueAtQuantile(99)) / 1000,
 		Types: map[string]typeSummary{}, Stories: r.Stories, Gossip: map[string]counterSummary{}}
 	for _, t := range r.Types {
-		s := 1.0
+		service := 1.0
 		if t.Value > 0 {
-			s = t.Earned / t.Value
+			service = t.Earned / t.Value
 		}
-		d.Types[t.Name] = typeSummary{s, float64(t.Latency.ValueAtQuantile(50)) / 1000, float64(t.Latency.ValueAtQuantile(99)) / 1000}
+		d.Types[t.Name] = typeSummary{service, float64(t.Latency.ValueAtQuantile(50)) / 1000, float64(t.Latency.ValueAtQuantile(99)) / 1000}
 	}
-	for _, words := range r.Gateways {
-		for line := range strings.Lines(words) {
+	for _, log := range r.Gateways {
+		for line := range strings.Lines(log) {
 			if !strings.Contains(line, "event=gossip_counters") {
 				continue
 			}
@@ -127,6 +129,7 @@
 	return d
 }
 
+// printSummary prints the result of a run as text.
 func printSummary(w io.Writer, arm string, seed uint64, r *loopback.Result) {
 	d := summarize(arm, seed, r)
 	fmt.Fprintf(w, "arm %s, seed %d: %.0f ops, service %.4f, rules broken %v\n", d.Arm, d.Seed, d.Asked, d.Service, d.Broken)
--- a/cmd/gorsewellctl/main.go
+++ b/cmd/gorsewellctl/main.go
@@ -1,4 +1,4 @@
-// Command gorsewellctl holds the operators' tools: emulated days and experiments, and load on sockets.
+// Command gorsewellctl contains tools for operators. It runs experiments in the emulator and load tests over sockets.
 package main
 
 import (
@@ -14,18 +14,18 @@
 	"gorsewell/internal/yamlfile"
 )
 
-// The exit codes of all commands of this project.
+// Exit codes. All commands of this project use them.
 const (
-	exitFailure           = 1
-	exitUsage             = 2
-	exitExpectationFailed = 3
+	exitFailure           = 1 // the command could not run
+	exitUsage             = 2 // invalid arguments or an invalid file
+	exitExpectationFailed = 3 // the experiment ran, and an expectation was not met
 )
 
-// badUsage marks an error as one of what was typed or written, not of the surroundings.
+// usageError is an error in the arguments or in a file, as opposed to one of the environment.
 type usageError struct{ error }
 
-// errShort says that all ran and something that was expected did not come.
-var errExpectationFailed = errors.New("an expectation fell short")
+// errExpectationFailed means that the experiment ran, and that at least one of its expectations was not met.
+var errExpectationFailed = errors.New("at least one expectation was not met")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -33,7 +33,7 @@
 	os.Exit(execute(ctx, os.Args[1:]))
 }
 
-// execute runs the command and gives its exit code.
+// execute runs the command and returns its exit code.
 func execute(ctx context.Context, args []string) int {
 	root := rootCommand()
 	root.SetArgs(args)
@@ -43,7 +43,7 @@
 	}
 	var problems yamlfile.Problems
 	switch {
-	case errors.As(err, &problems): // a line each, which an editor can follow
+	case errors.As(err, &problems): // printed without a prefix, so that editors can parse FILE:LINE
 		fmt.Fprintln(os.Stderr, problems)
 		return exitUsage
 	case errors.Is(err, errExpectationFailed):
@@ -60,7 +60,7 @@
 func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "gorsewellctl",
-		Short:         "Tools around gorsewell: emulated days, experiments, load",
+		Short:         "Tools for gorsewell: experiments in the emulator and load tests",
 		Args:          checkArgs(cobra.NoArgs),
 		RunE:          func(c *cobra.Command, _ []string) error { return c.Help() },
 		SilenceErrors: true,
@@ -71,7 +71,7 @@
 	return root
 }
 
-// usage marks what a check of arguments finds as bad usage.
+// checkArgs returns a check of arguments whose errors are of type usageError.
 func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// terminal tells whether progress can be written over itself.
+// isTerminal reports whether a file is a terminal, on which a progress line can be overwritten.
 func isTerminal(f *os.File) bool {
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin plays a small group of database servers and its discovery on loopback, so that the gateway can be
-// tried by hand. It prints the gateway's configuration and answers until it is interrupted.
+// Command standin runs a stand-in primary, replica and discovery service on loopback, so that the gateway can be tried
+// by hand. It prints the gateway's platform configuration and answers until it is interrupted.
 package main
 
 import (
@@ -15,7 +15,7 @@
 )
 
 func main() {
-	listen := flag.String("listen", "127.0.0.1:6432", "where the gateway is to listen")
+	listen := flag.String("listen", "127.0.0.1:6432", "host:port at which the gateway listens")
 	flag.Parse()
 	group, err := standin.Start(*listen, answer)
 	if err != nil {
@@ -29,7 +29,7 @@
 	<-stop
 }
 
-// answer gives every read the server's name; only the primary takes writes.
+// answer returns the answer to a query. It contains the role of the server; the replica rejects writes.
 func answer(role, query string) ([]byte, bool) {
 	now := time.Now().UnixMilli()
 	if role == "replica" && strings.HasPrefix(query, "INSERT") {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin is a small stand-in for clients and database servers, written from the protocol's public
-// description. Tests play against it, and cmd/standin lets the gateway be tried by hand.
+// Package standin implements simple database servers, clients and a discovery service for tests and for cmd/standin. It
+// is written from the public description of PostgreSQL's protocol.
 package standin
 
 import (
@@ -17,19 +17,19 @@
 	"gorsewell/internal/pgwire"
 )
 
-// Database answers queries on a listener until that is closed.
+// Database is a database server that answers queries with a function.
 type Database struct {
-	// Comes, where it is not nil, is called when a client has said who it is; it is let in when that returns.
+	// OnStartup, if not nil, is called after a client's startup message and before the reply to it.
 	Comes func()
-	// Welcome is written to each client that comes; nil stands for an ordinary welcome.
+	// StartupReply is the reply to a client's startup message; if nil, the client is accepted.
 	Welcome []byte
-	// Answer gives the bytes to write for a query, and whether the connection then stays open.
-	Answer func(query string) (bytes []byte, stays bool)
-	// Late is how long what follows the first ReadyForQuery of an answer is kept back.
+	// Answer returns the bytes to write for a query, and whether the connection then stays open.
+	Answer func(query string) (bytes []byte, keepOpen bool)
+	// TrailingDelay is the delay before the part of an answer that follows its first ReadyForQuery.
 	Late time.Duration
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (d *Database) Serve(l net.Listener) error {
 	for {
 		c, err := l.Accept()
@@ -44,53 +44,54 @@
 
 func (d *Database) serveClient(c net.Conn) {
 	defer c.Close()
-	var w pgwire.ReadBuffer
+	var buffer pgwire.ReadBuffer
 	for size := 0; size == 0; {
 		var err error
-		if _, size, err = pgwire.ParseStartup(w.Bytes()); err != nil || size == 0 && readMore(c, &w) != nil {
+		if _, size, err = pgwire.ParseStartup(buffer.Bytes()); err != nil || size == 0 && readMore(c, &buffer) != nil {
 			return
 		}
-		w.Discard(size)
+		buffer.Discard(size)
 	}
 	if d.Comes != nil {
 		d.Comes()
 	}
-	welcome := d.Welcome
-	if welcome == nil {
-		welcome = pgwire.AppendStartupReply(nil)
+	reply := d.Welcome
+	if reply == nil {
+		reply = pgwire.AppendStartupReply(nil)
 	}
-	if _, err := c.Write(welcome); err != nil {
+	if _, err := c.Write(reply); err != nil {
 		return
 	}
 	for {
-		m, ok, err := w.Next()
-		if err != nil || !ok && readMore(c, &w) != nil || ok && m.Type != pgwire.Query {
+		m, ok, err := buffer.Next()
+		if err != nil || !ok && readMore(c, &buffer) != nil || ok && m.Type != pgwire.Query {
 			return
 		} else if !ok {
 			continue
 		}
-		answer, stays := d.Answer(string(m.Body[:len(m.Body)-1]))
+		answer, keepOpen := d.Answer(string(m.Body[:len(m.Body)-1]))
 		if end := bytes.Index(answer, pgwire.AppendReady(nil)) + 6; d.Late > 0 && end > 5 {
 			c.Write(answer[:end])
 			answer = answer[end:]
 			time.Sleep(d.Late)
 		}
-		if _, err := c.Write(answer); err != nil || !stays {
+		if _, err := c.Write(answer); err != nil || !keepOpen {
 			return
 		}
 	}
 }
 
-func readMore(c net.Conn, w *pgwire.ReadBuffer) error {
-	n, err := c.Read(w.Space())
-	w.Filled(n)
+// readMore reads once from a connection into a buffer.
+func readMore(c net.Conn, buffer *pgwire.ReadBuffer) error {
+	n, err := c.Read(buffer.Space())
+	buffer.Filled(n)
 	if n > 0 {
 		return nil
 	}
 	return err
 }
 
-// Row is an answer of one value. The role and the position, in Unix milliseconds, follow it.
+// Row returns an answer of one row with one value, followed by the server's role and its position in Unix milliseconds.
 func Row(value, role string, position int64) []byte {
 	b := pgwire.AppendMessage(nil, pgwire.RowDescription,
 		"\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
@@ -100,24 +101,25 @@
 	return appendStatus(pgwire.AppendMessage(b, pgwire.CommandComplete, "SELECT 1\x00"), role, position)
 }
 
-// Failure is an ErrorResponse with the role and the position.
+// Failure returns an answer with an ErrorResponse, followed by the server's role and its position in Unix milliseconds.
 func Failure(code, role string, position int64) []byte {
 	return appendStatus(pgwire.AppendError(nil, "ERROR", code, "as the test wants", ""), role, position)
 }
 
+// appendStatus appends the role, the position and ReadyForQuery to an answer.
 func appendStatus(b []byte, role string, position int64) []byte {
 	b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "role\x00", role, "\x00")
 	b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "applied_ms\x00", strconv.FormatInt(position, 10), "\x00")
 	return pgwire.AppendReady(b)
 }
 
-// Client is one connection of a client.
+// Client is a client's connection.
 type Client struct {
 	net.Conn
 	buffer pgwire.ReadBuffer
 }
 
-// Dial connects and is let in.
+// Dial connects and completes the startup.
 func Dial(addr string) (*Client, error) {
 	c, err := Open(addr)
 	if err == nil {
@@ -129,7 +131,7 @@
 	return c, err
 }
 
-// Open connects without a word.
+// DialTCP connects without sending a startup message. Reads and writes fail from 20 s after that on.
 func Open(addr string) (*Client, error) {
 	nc, err := net.DialTimeout("tcp", addr, 5*time.Second)
 	if err != nil {
@@ -138,13 +140,13 @@
 	return &Client{Conn: nc}, nc.SetDeadline(time.Now().Add(20 * time.Second))
 }
 
-// Say writes bytes as they are.
+// WriteBytes writes bytes unchanged.
 func (c *Client) Say(bytes []byte) error {
 	_, err := c.Write(bytes)
 	return err
 }
 
-// Query asks and returns the answer.
+// Query sends a query and returns its answer in the form of ReadAnswer.
 func (c *Client) Query(statement string) (string, error) {
 	if err := c.Say(pgwire.AppendQuery(nil, statement)); err != nil {
 		return "", err
@@ -152,61 +154,61 @@
 	return c.Answer()
 }
 
-// Answer reads up to ReadyForQuery, or to the end of the connection, and returns in short what came: the value
-// of a row, the code and detail of an error, or the types of other messages.
-func (c *Client) Answer() (short string, err error) {
+// ReadAnswer reads messages up to ReadyForQuery or the end of the connection and returns a summary of them: the values of
+// rows, the code after C and the detail after D of errors, I for an empty query, and $ for the end of the connection.
+func (c *Client) Answer() (summary string, err error) {
 	for {
 		m, ok, err := c.buffer.Next()
 		if err != nil {
-			return short, err
+			return summary, err
 		}
 		if !ok {
 			if err := readMore(c, &c.buffer); errors.Is(err, io.EOF) {
-				return short + "$", nil
+				return summary + "$", nil
 			} else if err != nil {
-				return short, err
+				return summary, err
 			}
 			continue
 		}
 		switch m.Type {
 		case pgwire.ReadyForQuery:
-			return short, nil
+			return summary, nil
 		case pgwire.DataRow:
 			value, err := pgwire.ParseSingleColumn(m.Body)
 			if err != nil {
-				return short, err
+				return summary, err
 			}
-			short += string(value)
+			summary += string(value)
 		case pgwire.ErrorResponse:
-			short += errorFields(m.Body)
+			summary += errorFields(m.Body)
 		case pgwire.EmptyQueryResponse:
-			short += "I"
+			summary += "I"
 		}
 	}
 }
 
-// fields is the code and the detail of an ErrorResponse.
-func errorFields(body []byte) (short string) {
+// errorFields returns the code and the detail of an ErrorResponse, each after the letter of its field.
+func errorFields(body []byte) (summary string) {
 	for len(body) > 1 {
 		value, rest, err := pgwire.CutString(body[1:])
 		if err != nil {
-			return short
+			return summary
 		}
 		if body[0] == 'C' || body[0] == 'D' {
-			short += string(body[0]) + string(value)
+			summary += string(body[0]) + string(value)
 		}
 		body = rest
 	}
-	return short
+	return summary
 }
 
-// Group is a primary and a replica on loopback, with a discovery that lists them and never changes.
+// Group is a primary and a replica on loopback, with a discovery service that lists both and never changes its list.
 type Group struct {
-	Config  []byte // what a gateway is given to work with them
-	closers []io.Closer
+	Config  []byte      // platform configuration, in JSON, of a gateway for this group
+	closers []io.Closer // listeners and the discovery service
 }
 
-// settings describe a small deployment with a read and a write.
+// deploymentSettings are the settings of a deployment with two op types, a read and a write.
 const deploymentSettings = `{"balancers":1,"round":5000000,"registry_mode":"on_request",
 "classes":[{"name":"lookup","effect":"retryable","target":2000000000,"give_up":3000000000,"worth":1},
 {"name":"save","effect":"dedup","dedup_scope":"cell","window":2000000000,"target":2000000000,"give_up":3000000000,"worth":2}],
@@ -214,11 +216,11 @@
 "limits":{"connect_timeout":250000000,"keepalive":30000000000,"max_attempts":8,"may_cancel":true},
 "rules":{"must_ask_in":10000000000}}`
 
-// Start starts a group; the answer to a query depends on the role of the server that it came to. The gateway is to
-// listen on the address given.
+// Start starts a group. The function answer returns the bytes to write for a query to the server with the given role,
+// and whether the connection then stays open. listen is the gateway's listen address in the group's Config.
 func Start(listen string, answer func(role, query string) ([]byte, bool)) (*Group, error) {
 	g := &Group{}
-	open := func() (net.Listener, error) {
+	newListener := func() (net.Listener, error) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err == nil {
 			g.closers = append(g.closers, l)
@@ -227,7 +229,7 @@
 	}
 	var servers []string
 	for i, role := range []string{"primary", "replica"} {
-		l, err := open()
+		l, err := newListener()
 		if err != nil {
 			return nil, err
 		}
@@ -235,8 +237,8 @@
 		go d.Serve(l)
 		servers = append(servers, fmt.Sprintf(`{"id":"s-%d","addr":%q,"state":"in_service","role":%q}`, i+1, l.Addr(), role))
 	}
-	page := fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, strings.Join(servers, ","))
-	l, err := open()
+	list := fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, strings.Join(servers, ","))
+	l, err := newListener()
 	if err != nil {
 		return nil, err
 	}
@@ -247,7 +249,7 @@
 			case <-time.After(time.Duration(wait) * time.Millisecond):
 			}
 		}
-		fmt.Fprint(w, page)
+		fmt.Fprint(w, list)
 	})}
 	g.closers = append(g.closers, discovery)
 	go discovery.Serve(l)
@@ -255,22 +257,23 @@
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "known":%s,
 "settings":%s}
-`, listen, l.Addr(), page, deploymentSettings)
+`, listen, l.Addr(), list, deploymentSettings)
 	return g, nil
 }
 
 // Close stops the group.
 func (g *Group) Close() {
-	for _, p := range g.closers {
-		p.Close()
+	for _, c := range g.closers {
+		c.Close()
 	}
 }
 
-// Breaks tells whether an assertion does not hold while f runs, whatever the build makes of it.
+// BreaksAssertion reports whether an assertion fails while f runs, both in debug builds, where it panics, and in others,
+// where it is counted.
 func Breaks(f func()) (broke bool) {
 	before := invariant.Broken()
 	defer func() {
-		recover() // a debug build panics
+		recover() // from the panic of a debug build
 		broke = invariant.Broken() > before
 	}()
 	f()
