--- a/cmd/gorsewell/endings_test.go
+++ b/cmd/gorsewell/endings_test.go
@@ -19,25 +19,25 @@
 	"gorsewell/internal/standin"
 )
 
-// swap puts another value in the place of the one that a configuration has.
+// replaceField returns a JSON configuration in which the value of a key is replaced.
 func replaceField(t *testing.T, config, name string, value any) string {
 	t.Helper()
-	all := map[string]json.RawMessage{}
-	if err := json.Unmarshal([]byte(config), &all); err != nil {
+	fields := map[string]json.RawMessage{}
+	if err := json.Unmarshal([]byte(config), &fields); err != nil {
 		t.Fatal(err)
 	}
 	text, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	all[name] = text
-	if text, err = json.Marshal(all); err != nil {
+	fields[name] = text
+	if text, err = json.Marshal(fields); err != nil {
 		t.Fatal(err)
 	}
 	return string(text)
 }
 
-// dead is an address at which nobody listens.
+// unusedAddress returns an address at which nothing listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,13 +48,14 @@
 	return l.Addr().String()
 }
 
-// Idle, silent and half-open clients take all the room that there is, while discovery is down and servers are dialled. Who asks is
-// answered all the same, who is owed an answer keeps its connection, and discovery is reached as soon as it is there.
+// Idle, silent and half-open clients use up all connections while discovery is down and connections to servers are opened.
+// Clients that send ops must still be answered, those with an open op must keep their connection, and the gateway must
+// reach discovery as soon as it is up.
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	const sockets = 96
-	held, release, asked := make(chan struct{}, 64), make(chan struct{}), make(chan struct{}, 64)
+	arrived, release, requests := make(chan struct{}, 64), make(chan struct{}), make(chan struct{}, 64)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- struct{}{}
+		requests <- struct{}{}
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 		}
@@ -63,7 +64,7 @@
 	t.Cleanup(discovery.Close)
 	cmd, addr, out, path := startGatewayWith(t, func(role, query string) ([]byte, bool) {
 		if strings.Contains(query, "id=9") {
-			held <- struct{}{}
+			arrived <- struct{}{}
 			<-release
 		}
 		return standin.Row("v", role, time.Now().UnixMilli()), true
@@ -76,7 +77,7 @@
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		t.Fatal(err)
 	}
-	for n := range 3 * sockets { // those that find no room are told so
+	for n := range 3 * sockets { // connections above the limit are refused
 		c, err := standin.Open(addr)
 		if err != nil {
 			t.Fatal(err)
@@ -85,20 +86,20 @@
 		startup := pgwire.AppendStartup(nil, "portal", "crm")
 		c.Say([][]byte{startup, startup[:9], nil, append(startup, pgwire.AppendQuery(nil, "")...)}[n%4])
 	}
-	if bound := sockets - reservedDescriptors - (sockets-reservedDescriptors)/3; bound < 20 {
-		t.Fatalf("%d clients fill nothing", bound)
+	if maxClients := sockets - reservedDescriptors - (sockets-reservedDescriptors)/3; maxClients < 20 {
+		t.Fatalf("got a limit of %d clients, want at least 20", maxClients)
 	}
-	time.Sleep(2100 * time.Millisecond) // those that have spoken count as idle after two seconds
-	var owed []*standin.Client
-	for n := range 4 { // each with a connection to a server of its own
+	time.Sleep(2100 * time.Millisecond) // clients that have sent something count as idle after 2 s
+	var waiting []*standin.Client
+	for n := range 4 { // the op of each occupies a connection to a server
 		c, err := standin.Dial(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		c.Say(pgwire.AppendQuery(nil, fmt.Sprintf(lookupQuery, 900+n)))
-		<-held
-		owed = append(owed, c)
+		<-arrived
+		waiting = append(waiting, c)
 	}
 	for n := range 5 {
 		c, err := standin.Dial(addr)
@@ -107,7 +108,7 @@
 		}
 		defer c.Close()
 		if got, err := c.Query(fmt.Sprintf(lookupQuery, n)); err != nil || got != "v" {
-			t.Errorf("who asks: %q, %v", got, err)
+			t.Errorf("new client: got %q, %v, want v", got, err)
 		}
 	}
 	config, err := os.ReadFile(path)
@@ -119,17 +120,17 @@
 		t.Fatal(err)
 	}
 	cmd.Process.Signal(syscall.SIGHUP)
-	<-asked // for the whole list
-	<-asked // and by a watch
+	<-requests // for the whole list
+	<-requests // of a watch
 	close(release)
-	for _, c := range owed {
+	for _, c := range waiting {
 		if got, err := c.Answer(); err != nil || got != "v" {
-			t.Errorf("who is owed an answer: %q, %v", got, err)
+			t.Errorf("client with an open op: got %q, %v, want v", got, err)
 		}
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("got %v, want exit code 0; log %s", err, out)
 	}
 	if log := out.String(); strings.Contains(log, "accept_failed") || !strings.Contains(log, "discovery_back") ||
 		!strings.Contains(log, " held=0 ") || !strings.Contains(log, "assertions_broken=0") {
@@ -137,17 +138,18 @@
 	}
 }
 
-// Ready waits for nobody: not for discovery, which may be down, silent or overloaded, and not for a list that says something.
+// A gateway accepts clients without waiting for discovery, which may be down, silent or overloaded, even if its
+// configuration has an empty list.
 func TestStartupDoesNotDependOnDiscovery(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	var all sync.WaitGroup
+	var gateways sync.WaitGroup
 	for n := range 30 {
-		all.Go(func() {
-			began := time.Now()
+		gateways.Go(func() {
+			start := time.Now()
 			_, addr, _, _ := startGatewayWith(t, func(role, _ string) ([]byte, bool) { return standin.Row("v", role, 1), true }, func(config string) string {
 				config = replaceField(t, config, "discovery", []string{silent.Addr().String(), unusedAddress(t)}[n%2])
 				if n%3 == 0 {
@@ -161,10 +163,10 @@
 				return
 			}
 			defer c.Close()
-			if got, err := c.Query(""); err != nil || got != "I" || time.Since(began) > 10*time.Second {
-				t.Errorf("an empty query: %q, %v after %v", got, err, time.Since(began))
+			if got, err := c.Query(""); err != nil || got != "I" || time.Since(start) > 10*time.Second {
+				t.Errorf("empty query: got %q, %v after %v, want I within 10 s", got, err, time.Since(start))
 			}
 		})
 	}
-	all.Wait()
+	gateways.Wait()
 }
--- a/cmd/gorsewell/keys.go
+++ b/cmd/gorsewell/keys.go
@@ -13,27 +13,27 @@
 	"gorsewell/internal/gossip/keys"
 )
 
-// keyCommands makes and shows what instances prove themselves by.
+// keysCommand returns the command that creates and shows keys and certificates of instances.
 func keysCommand() *cobra.Command {
-	all := &cobra.Command{
+	c := &cobra.Command{
 		Use:   "keys",
-		Short: "Make and show the keys by which instances know one another",
+		Short: "Create and show the keys by which instances authenticate one another",
 		Args:  checkArgs(cobra.NoArgs),
 		RunE: func(*cobra.Command, []string) error {
-			return usageError{errors.New("keys needs one of authority, issue, show and rotate")}
+			return usageError{errors.New("expected a sub-command of keys: authority, issue, show or rotate")}
 		},
 	}
-	all.AddCommand(authorityCommand(), issueCommand(), showCommand(), rotateCommand())
-	return all
+	c.AddCommand(authorityCommand(), issueCommand(), showCommand(), rotateCommand())
+	return c
 }
 
 func authorityCommand() *cobra.Command {
 	var out, name string
 	c := &cobra.Command{
 		Use:   "authority",
-		Short: "Make an authority, which signs certificates",
-		Long: "Makes an authority. NAME.authority.key signs and stays where certificates are issued; NAME.authority goes to all\n" +
-			"instances. A key that exists is never written over.",
+		Short: "Create an authority, which signs certificates",
+		Long: "Creates an authority. NAME.authority.key holds its private key and stays where certificates are issued; NAME.authority is\n" +
+			"distributed to all instances. An existing key is never overwritten.",
 		Example: "  gorsewell keys authority --name 2027 --out keys",
 		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -51,26 +51,26 @@
 		},
 	}
 	c.Flags().StringVar(&out, "out", ".", "folder to write to")
-	c.Flags().StringVar(&name, "name", "authority", "what to call it")
+	c.Flags().StringVar(&name, "name", "authority", "name of the authority")
 	return c
 }
 
 func issueCommand() *cobra.Command {
 	var authority, out, name string
-	var lasts time.Duration
+	var validity time.Duration
 	c := &cobra.Command{
 		Use:   "issue",
 		Short: "Issue a certificate for an instance",
-		Long: "Issues a certificate that binds an instance's name to a key until it expires: NAME.crt, and NAME.key unless that exists\n" +
-			"already, in which case the certificate is for it.",
+		Long: "Issues NAME.crt, a certificate that binds an instance's name to its key until the certificate expires. The key is\n" +
+			"NAME.key, which is created if it does not exist.",
 		Example: "  gorsewell keys issue --authority keys/2027.authority.key --name n3 --out keys",
 		Args:    checkArgs(cobra.NoArgs),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if !keys.ValidName(name) {
 				return usageError{fmt.Errorf("--name %q: %w", name, keys.ErrInvalidName)}
 			}
-			if lasts <= 0 {
-				return usageError{fmt.Errorf("--for %v: must be more than 0", lasts)}
+			if validity <= 0 {
+				return usageError{fmt.Errorf("--for %v: must be more than 0", validity)}
 			}
 			a, err := readAuthority(authority)
 			if err != nil {
@@ -88,7 +88,7 @@
 					return err
 				}
 			}
-			cert, err := a.Issue(name, private.Public().(ed25519.PublicKey), time.Now().Add(lasts))
+			cert, err := a.Issue(name, private.Public().(ed25519.PublicKey), time.Now().Add(validity))
 			if err != nil {
 				return err
 			}
@@ -99,23 +99,24 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&authority, "authority", "", "the authority's private key")
+	c.Flags().StringVar(&authority, "authority", "", "file with the authority's private key")
 	c.Flags().StringVar(&out, "out", ".", "folder to write to")
-	c.Flags().StringVar(&name, "name", "", "the instance's name, as LB_NAME says it")
-	c.Flags().DurationVar(&lasts, "for", 90*24*time.Hour, "how long the certificate counts")
+	c.Flags().StringVar(&name, "name", "", "the instance's name, as in LB_NAME")
+	c.Flags().DurationVar(&validity, "for", 90*24*time.Hour, "how long the certificate is valid")
 	return c
 }
 
+// readAuthority reads an authority with its private key.
 func readAuthority(path string) (*keys.Authority, error) {
 	if path == "" {
-		return nil, usageError{errors.New("--authority is needed")}
+		return nil, usageError{errors.New("--authority is required")}
 	}
 	f, err := keys.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
 	if f.Authority == nil || f.Authority.Private == nil {
-		return nil, usageError{fmt.Errorf("%s is no private key of an authority", path)}
+		return nil, usageError{fmt.Errorf("%s: expected the private key of an authority", path)}
 	}
 	return f.Authority, nil
 }
@@ -123,8 +124,8 @@
 func showCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "show FILE...",
-		Short:   "Tell what key files hold, never a private key itself",
-		Long:    "Tells what each file holds. Certificates are checked against the authorities among the files.",
+		Short:   "Show the contents of key files, except private keys",
+		Long:    "Shows what each file contains, but no private keys. Certificates are verified against the authorities among the files.",
 		Example: "  gorsewell keys show keys/2027.authority keys/n3.crt",
 		Args:    checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -150,7 +151,7 @@
 					fmt.Fprintf(out, "%s: private key, id %s\n", args[i], keys.IDText(keys.ID(f.Private.Public().(ed25519.PublicKey))))
 				default:
 					fmt.Fprintf(out, "%s: certificate of %s, id %s, until %s, by %x%s\n", args[i], f.Certificate.Name, keys.IDText(f.Certificate.KeyID()),
-						time.Unix(f.Certificate.NotAfter, 0).UTC().Format(time.RFC3339), f.Certificate.Authority, validity(ring, f.Certificate))
+						time.Unix(f.Certificate.NotAfter, 0).UTC().Format(time.RFC3339), f.Certificate.Authority, verdict(ring, f.Certificate))
 				}
 			}
 			return nil
@@ -158,7 +159,8 @@
 	}
 }
 
-func validity(ring *keys.Keyring, cert *keys.Certificate) string {
+// verdict returns the end of the line about a certificate. Without authorities only the expiry is checked.
+func verdict(ring *keys.Keyring, cert *keys.Certificate) string {
 	if len(ring.Authorities) == 0 {
 		if time.Now().Unix() > cert.NotAfter {
 			return ": " + keys.ErrExpired.Error()
@@ -173,12 +175,12 @@
 
 func rotateCommand() *cobra.Command {
 	var authority, out string
-	var lasts time.Duration
+	var validity time.Duration
 	c := &cobra.Command{
 		Use:   "rotate CERTIFICATE...",
-		Short: "Issue certificates anew, by another authority or for longer",
-		Long: "Issues each certificate anew for its name and key. To change the authority: give all instances both authorities and send\n" +
-			"SIGHUP, rotate the certificates by the new one, send SIGHUP, then take the old authority away and send SIGHUP again.",
+		Short: "Reissue certificates, by another authority or with a later expiry",
+		Long: "Reissues each certificate for the same name and key. To change the authority: configure both authorities at all instances\n" +
+			"and send SIGHUP; rotate the certificates with the new authority and send SIGHUP; remove the old authority and send SIGHUP.",
 		Example: "  gorsewell keys rotate --authority keys/2028.authority.key --out next keys/n*.crt",
 		Args:    checkArgs(cobra.MinimumNArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -186,8 +188,8 @@
 			if err != nil {
 				return err
 			}
-			if lasts <= 0 {
-				return usageError{fmt.Errorf("--for %v: must be more than 0", lasts)}
+			if validity <= 0 {
+				return usageError{fmt.Errorf("--for %v: must be more than 0", validity)}
 			}
 			for _, path := range args {
 				f, err := keys.ReadFile(path)
@@ -195,23 +197,23 @@
 					return err
 				}
 				if f.Certificate == nil {
-					return usageError{fmt.Errorf("%s is no certificate", path)}
+					return usageError{fmt.Errorf("%s: expected a certificate", path)}
 				}
-				next, err := a.Issue(f.Certificate.Name, f.Certificate.Public, time.Now().Add(lasts))
+				next, err := a.Issue(f.Certificate.Name, f.Certificate.Public, time.Now().Add(validity))
 				if err != nil {
 					return err
 				}
-				to := filepath.Join(out, filepath.Base(path))
-				if err := keys.WriteCertificate(to, next); err != nil {
+				target := filepath.Join(out, filepath.Base(path))
+				if err := keys.WriteCertificate(target, next); err != nil {
 					return err
 				}
-				fmt.Fprintln(c.OutOrStdout(), to)
+				fmt.Fprintln(c.OutOrStdout(), target)
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&authority, "authority", "", "the private key of the authority that signs from now on")
-	c.Flags().StringVar(&out, "out", ".", "folder to write to; the certificates' own replaces them")
-	c.Flags().DurationVar(&lasts, "for", 90*24*time.Hour, "how long the certificates count")
+	c.Flags().StringVar(&authority, "authority", "", "file with the private key of the authority that signs")
+	c.Flags().StringVar(&out, "out", ".", "folder to write to; files of the same name in it are replaced")
+	c.Flags().DurationVar(&validity, "for", 90*24*time.Hour, "how long the certificates are valid")
 	return c
 }
--- a/cmd/gorsewell/main.go
+++ b/cmd/gorsewell/main.go
@@ -1,4 +1,4 @@
-// Command gorsewell is the gateway: it takes ops from clients on a socket and carries each to a database server.
+// Command gorsewell is the gateway. It accepts ops from clients on a socket and sends each to a database server.
 package main
 
 import (
@@ -13,18 +13,18 @@
 	"gorsewell/internal/yamlfile"
 )
 
-// The exit codes of all commands of this project.
+// Exit codes. All commands of this project use them.
 const (
-	exitFailure = 1
-	exitUsage   = 2
+	exitFailure = 1 // the command could not run
+	exitUsage   = 2 // invalid arguments or an invalid file
 )
 
-// badUsage marks an error as one of what was typed or written, not of the surroundings.
+// usageError is an error in the arguments or in a file, as opposed to one of the environment.
 type usageError struct{ error }
 
 func main() { os.Exit(execute(os.Args[1:])) }
 
-// execute runs the command and gives its exit code.
+// execute runs the command and returns its exit code.
 func execute(args []string) int {
 	root := rootCommand()
 	root.SetArgs(args)
@@ -34,7 +34,7 @@
 	}
 	var problems yamlfile.Problems
 	switch {
-	case errors.As(err, &problems): // a line each, which an editor can follow
+	case errors.As(err, &problems): // printed without a prefix, so that editors can parse FILE:LINE
 		fmt.Fprintln(os.Stderr, problems)
 		return exitUsage
 	case errors.As(err, new(usageError)):
@@ -45,7 +45,7 @@
 	return exitFailure
 }
 
-// settingsVariable names the settings where the flag does not.
+// settingsVariable is the environment variable with the path of the settings file. The flag --config overrides it.
 const settingsVariable = "GORSEWELL_CONFIG"
 
 func rootCommand() *cobra.Command {
@@ -63,29 +63,29 @@
 	root := &cobra.Command{
 		Use:           "gorsewell",
 		Short:         "A gateway that spreads reads over database replicas so that no session outruns its own writes",
-		Long:          "Without a sub-command it runs the gateway, as `gorsewell run` does.",
+		Long:          "Without a sub-command, runs the gateway like `gorsewell run`.",
 		Args:          checkArgs(cobra.NoArgs),
 		RunE:          start,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
-	runs := &cobra.Command{
+	runCommand := &cobra.Command{
 		Use:     "run",
 		Short:   "Run the gateway until SIGTERM",
-		Long:    "Runs the gateway. The platform's surroundings are read from LB_CONFIG; settings of our own are optional.",
+		Long:    "Runs the gateway. The platform's configuration is read from the file at LB_CONFIG. The gateway's own settings are optional.",
 		Example: "  LB_CONFIG=gateway.json gorsewell run --config deploy/gorsewell.yaml",
 		Args:    checkArgs(cobra.NoArgs),
 		RunE:    start,
 	}
-	for _, c := range []*cobra.Command{root, runs} {
-		c.Flags().StringVar(&path, "config", "", "YAML file of our own settings; else "+settingsVariable+" names it, else there are none")
+	for _, c := range []*cobra.Command{root, runCommand} {
+		c.Flags().StringVar(&path, "config", "", "YAML file with the gateway's own settings; if empty, the value of "+settingsVariable+", if any")
 	}
-	root.AddCommand(runs, checkCommand(), keysCommand(), versionCommand())
+	root.AddCommand(runCommand, checkCommand(), keysCommand(), versionCommand())
 	return root
 }
 
-// usage marks what a check of arguments finds as bad usage.
+// checkArgs returns a check of arguments whose errors are of type usageError.
 func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
@@ -98,8 +98,8 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Check a file of settings and tell all that is wrong with it",
-		Long:    "Checks a file of settings. Each problem is one line with file, line and key; the exit code is then 2.",
+		Short:   "Check a settings file and report all its problems",
+		Long:    "Checks a settings file and prints one line for each problem, with file, line and key. The exit code is 2 if there are any.",
 		Example: "  gorsewell check deploy/gorsewell.yaml",
 		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -118,14 +118,14 @@
 		Short: "Print the version",
 		Args:  checkArgs(cobra.NoArgs),
 		Run: func(c *cobra.Command, _ []string) {
-			built := "unknown Go"
+			goVersion := "unknown Go"
 			if info, ok := debug.ReadBuildInfo(); ok {
-				built = info.GoVersion
+				goVersion = info.GoVersion
 			}
-			fmt.Fprintf(c.OutOrStdout(), "gorsewell %s, %s\n", version, built)
+			fmt.Fprintf(c.OutOrStdout(), "gorsewell %s, %s\n", version, goVersion)
 		},
 	}
 }
 
-// version is what CHANGELOG.md calls the text that this was built from.
+// version is the version of this source in CHANGELOG.md.
 const version = "0.3.0-dev"
--- a/cmd/gorsewell/main_test.go
+++ b/cmd/gorsewell/main_test.go
@@ -19,7 +19,7 @@
 	"gorsewell/internal/standin"
 )
 
-// The test's own binary is the gateway where this variable is set.
+// runAsGateway is an environment variable. If it is set, the test binary runs as the gateway.
 const runAsGateway = "GORSEWELL_TEST_RUN"
 
 func TestMain(m *testing.M) {
@@ -30,21 +30,25 @@
 	os.Exit(m.Run())
 }
 
+// addressCount is the number of listen addresses assigned to gateways.
 var addressCount atomic.Int32
 
+// lookupQuery is a read; the format's argument is the op's id.
 const lookupQuery = "SELECT data FROM facts WHERE code = 'k' /* id=%d,c=lookup,d=2500,cluster=0 */"
 
-// gateway runs the program against a group until the test ends it.
+// startGateway starts a gateway process with a group of servers and waits until it accepts clients. It returns the process,
+// the gateway's address, its standard error and the path of its configuration. The process is killed when the test ends.
 func startGateway(t *testing.T, answer func(role, query string) ([]byte, bool), env ...string) (*exec.Cmd, string, *strings.Builder, string) {
 	t.Helper()
 	return startGatewayWith(t, answer, func(string) string { return "" }, env...)
 }
 
-// changed does so with a configuration that was changed; where nothing comes of that, it is as the group has it.
+// startGatewayWith is like startGateway, but changes the gateway's configuration with a function. If the function returns
+// "", the configuration is that of the group.
 func startGatewayWith(t *testing.T, answer func(role, query string) ([]byte, bool), change func(config string) string, env ...string) (*exec.Cmd,
 	string, *strings.Builder, string) {
 	t.Helper()
-	n := addressCount.Add(1) // an address of its own: a port that was free a moment ago may be some client's by now
+	n := addressCount.Add(1) // each gateway has its own address, as a free port could be taken by a client before it listens
 	addr := fmt.Sprintf("127.77.%d.%d:5432", n>>8, n&0xff)
 	group, err := standin.Start(addr, answer)
 	if err != nil {
@@ -70,7 +74,7 @@
 			c.Close()
 			return cmd, addr, out, path
 		} else if time.Now().After(end) {
-			t.Fatalf("not up: %v, %s", err, out)
+			t.Fatalf("the gateway does not accept clients: %v, log %s", err, out)
 		}
 	}
 }
@@ -89,18 +93,18 @@
 	}
 	defer c.Close()
 	if got, err := c.Query(""); err != nil || got != "I" {
-		t.Errorf("an empty query: %q, %v", got, err)
+		t.Errorf("empty query: got %q, %v, want I", got, err)
 	}
 	for id := range 3 {
 		if got, err := c.Query(fmt.Sprintf(lookupQuery, id)); err != nil || got != "from a replica" {
-			t.Errorf("%q, %v", got, err)
+			t.Errorf("got %q, %v, want an answer from a replica", got, err)
 		}
 	}
 	cmd.Process.Signal(syscall.SIGUSR1)
 	var held sync.WaitGroup
 	held.Go(func() {
 		if got, err := c.Query(fmt.Sprintf(lookupQuery, 9)); err != nil || got != "from a replica" {
-			t.Errorf("the held op: %q, %v", got, err)
+			t.Errorf("op that is open at SIGTERM: got %q, %v, want an answer from a replica", got, err)
 		}
 	})
 	time.Sleep(100 * time.Millisecond)
@@ -112,13 +116,13 @@
 	}
 	defer late.Close()
 	if got, err := late.Query(fmt.Sprintf(lookupQuery, 4)); err != nil || got != "from a replica" {
-		t.Errorf("after SIGTERM: %q, %v", got, err)
+		t.Errorf("op after SIGTERM: got %q, %v, want an answer from a replica", got, err)
 	}
 	time.Sleep(600 * time.Millisecond)
 	close(slow)
 	held.Wait()
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("got %v, want exit code 0; log %s", err, out)
 	}
 	log := out.String()
 	if !strings.Contains(log, "event=counters taken=") || !strings.Contains(log, "event=stopped taken=5 acked=5 ") ||
@@ -127,23 +131,24 @@
 	}
 }
 
-// The environment names the old discovery for good. Each reload is over before the next begins, as the log shows.
+// LB_DISCOVERY names the old discovery service during the whole test. Each reload ends before the next SIGHUP, which the
+// counts in the log confirm.
 func TestSIGHUPMovesToDiscoveryOfNewFile(t *testing.T) {
-	asked := make(chan string, 16)
-	discovery := func(name string) string {
+	requests := make(chan string, 16)
+	startDiscovery := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-			asked <- name + r.URL.RawQuery
+			requests <- name + r.URL.RawQuery
 			<-r.Context().Done()
 		}))
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
-	old, next := discovery("old "), discovery("new ")
+	oldAddr, newAddr := startDiscovery("old "), startDiscovery("new ")
 	cmd, addr, out, path := startGateway(t, func(role, _ string) ([]byte, bool) {
 		return standin.Row("v", role, time.Now().UnixMilli()), true
-	}, "LB_DISCOVERY="+old)
-	if got := <-asked; got != "old since=1&timeout_ms=10" {
-		t.Errorf("asked %q", got)
+	}, "LB_DISCOVERY="+oldAddr)
+	if got := <-requests; got != "old since=1&timeout_ms=10" {
+		t.Errorf("got request %q, want a watch at the old discovery", got)
 	}
 	good, err := os.ReadFile(path)
 	if err != nil {
@@ -153,17 +158,17 @@
 	if err := json.Unmarshal(good, &file); err != nil {
 		t.Fatal(err)
 	}
-	moved := strings.Replace(string(good), file.Discovery, next, 1)
+	moved := strings.Replace(string(good), file.Discovery, newAddr, 1)
 	for _, text := range []string{"", moved[:len(moved)/2], strings.Replace(moved, `"round":5000000`, `"round":"soon"`, 1),
-		strings.Replace(moved, next, "nowhere", 1), moved, moved, moved} {
+		strings.Replace(moved, newAddr, "nowhere", 1), moved, moved, moved} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		cmd.Process.Signal(syscall.SIGHUP)
 		time.Sleep(50 * time.Millisecond)
 	}
-	if got := <-asked; got != "new " {
-		t.Errorf("asked %q", got)
+	if got := <-requests; got != "new " {
+		t.Errorf("got request %q, want one for the whole list at the new discovery", got)
 	}
 	c, err := standin.Dial(addr)
 	if err != nil {
@@ -171,17 +176,17 @@
 	}
 	defer c.Close()
 	if got, err := c.Query(fmt.Sprintf(lookupQuery, 1)); err != nil || got != "v" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("op after the reloads: got %q, %v, want v", got, err)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	cmd.Process.Signal(syscall.SIGHUP)
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("got %v, want exit code 0; log %s", err, out)
 	}
 	log := out.String()
 	if strings.Count(log, "event=reload_failed") != 4 || strings.Count(log, "event=discovery_moved") != 1 ||
-		len(asked) > 0 {
-		t.Errorf("%d more calls, %s", len(asked), log)
+		len(requests) > 0 {
+		t.Errorf("got %d more requests, want 0 of them, 4 failed reloads and 1 move; log %s", len(requests), log)
 	}
 }
 
@@ -198,43 +203,43 @@
 		}
 		return path
 	}
-	change := func(edit func(map[string]any)) string {
-		all := map[string]any{}
-		if err := json.Unmarshal(good.Config, &all); err != nil {
+	edited := func(edit func(map[string]any)) string {
+		config := map[string]any{}
+		if err := json.Unmarshal(good.Config, &config); err != nil {
 			t.Fatal(err)
 		}
-		edit(all)
-		text, err := json.Marshal(all)
+		edit(config)
+		text, err := json.Marshal(config)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return write(string(text))
 	}
 	for name, config := range map[string]string{
-		"no config":        "",
-		"no such file":     filepath.Join(t.TempDir(), "none"),
-		"not JSON":         write("{"),
-		"no listen":        change(func(m map[string]any) { delete(m, "listen") }),
-		"bad listen":       change(func(m map[string]any) { m["listen"] = "nowhere" }),
-		"another's listen": change(func(m map[string]any) { m["listen"] = "192.0.2.1:5432" }),
-		"bad discovery":    change(func(m map[string]any) { m["discovery"] = "nowhere" }),
-		"bad seed":         change(func(m map[string]any) { m["seed"] = "xyz" }),
-		"no settings":      change(func(m map[string]any) { delete(m, "settings") }),
-		"bad setting":      change(func(m map[string]any) { m["settings"] = map[string]any{"round": "soon"} }),
-		"few descriptors":  change(func(m map[string]any) { m["limits"] = map[string]any{"sockets": 40} }),
-		"no op type":       change(func(m map[string]any) { m["settings"] = map[string]any{} }),
-		"a name twice": change(func(m map[string]any) {
-			classes := m["settings"].(map[string]any)["classes"].([]any)
-			classes[1].(map[string]any)["name"] = classes[0].(map[string]any)["name"]
+		"no config":             "",
+		"no such file":          filepath.Join(t.TempDir(), "none"),
+		"not JSON":              write("{"),
+		"no listen":             edited(func(m map[string]any) { delete(m, "listen") }),
+		"bad listen":            edited(func(m map[string]any) { m["listen"] = "nowhere" }),
+		"another host's listen": edited(func(m map[string]any) { m["listen"] = "192.0.2.1:5432" }),
+		"bad discovery":         edited(func(m map[string]any) { m["discovery"] = "nowhere" }),
+		"bad seed":              edited(func(m map[string]any) { m["seed"] = "xyz" }),
+		"no settings":           edited(func(m map[string]any) { delete(m, "settings") }),
+		"bad setting":           edited(func(m map[string]any) { m["settings"] = map[string]any{"round": "soon"} }),
+		"too few sockets":       edited(func(m map[string]any) { m["limits"] = map[string]any{"sockets": 40} }),
+		"no op types":           edited(func(m map[string]any) { m["settings"] = map[string]any{} }),
+		"duplicate name": edited(func(m map[string]any) {
+			opTypes := m["settings"].(map[string]any)["classes"].([]any)
+			opTypes[1].(map[string]any)["name"] = opTypes[0].(map[string]any)["name"]
 		}),
-		"limits of words": change(func(m map[string]any) { m["limits"] = "none" }),
-		"bad server":      change(func(m map[string]any) { m["known"] = map[string]any{"servers": []any{map[string]any{"id": "s-1"}}} }),
+		"limits not an object": edited(func(m map[string]any) { m["limits"] = "none" }),
+		"bad server":           edited(func(m map[string]any) { m["known"] = map[string]any{"servers": []any{map[string]any{"id": "s-1"}}} }),
 	} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), runAsGateway+"=1", "LB_CONFIG="+config)
 		out, err := cmd.CombinedOutput()
 		if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "gorsewell: ") {
-			t.Errorf("%s: %v, %q", name, err, out)
+			t.Errorf("%s: got %v and output %q, want exit code 1 and one line of output", name, err, out)
 		}
 	}
 }
--- a/cmd/gorsewell/names_test.go
+++ b/cmd/gorsewell/names_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The platform's file at LB_CONFIG is read by field names where no tag says otherwise.
+// Keys of the platform's file at LB_CONFIG are field names unless a tag names them, so renaming a field must not change its key.
 func TestKeysOfThePlatformsFile(t *testing.T) {
 	const text = `{"name":"n","listen":"l","discovery":"d","seed":"s","limits":{"cores":1.5,"memory_mb":2,"sockets":3},` +
 		`"known":{"version":4,"full":true,"servers":[{"id":"i","addr":"a","zone":"z","kind":"k","cell":5,"state":"x","role":"r","weight":6,"started_ms":7}]},` +
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Only the case may differ: keys without a tag are matched without regard to it.
+	// The comparison ignores case, as decoding does for keys without a tag.
 	if got := strings.ToLower(string(again)); got != text {
-		t.Errorf("read as\n%s\nfrom\n%s", got, text)
+		t.Errorf("got\n%s\nwant\n%s", got, text)
 	}
 }
--- a/cmd/gorsewell/run.go
+++ b/cmd/gorsewell/run.go
@@ -30,19 +30,25 @@
 	"gorsewell/internal/serverside"
 )
 
-// given is what the platform hands a gateway.
+// platformConfig is the platform's configuration of a gateway, the JSON file at LB_CONFIG. Fields without a tag are matched
+// by their names.
 type platformConfig struct {
-	Name, Listen, Discovery, Seed string
-	Limits                        struct {
+	Name      string
+	Listen    string // host:port for clients
+	Discovery string // host:port
+	Seed      string // of the random numbers, in hexadecimal
+	Limits    struct {
 		Cores    float64
 		MemoryMB int64 `json:"memory_mb"`
 		Sockets  int
 	}
-	Known      discovery.List
+	Known      discovery.List  // the server list that was known before the start
 	Deployment json.RawMessage `json:"settings"`
 }
 
-// read reads the file at LB_CONFIG. At the start the environment goes over the file; later the file is newer.
+// readPlatformConfig reads and checks the file at LB_CONFIG. At startup the environment variables take precedence over
+// the file. On a reload the file is newer than the environment, so that LB_NAME and LB_LISTEN only replace values that
+// it lacks, and LB_DISCOVERY is ignored.
 func readPlatformConfig(starting bool) (*platformConfig, *deployment.Settings, error) {
 	path := os.Getenv("LB_CONFIG")
 	if path == "" {
@@ -71,36 +77,36 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	told, err := values.Read()
+	settings, err := values.Read()
 	if err != nil {
 		return nil, nil, err
 	}
-	if told.Seed, err = strconv.ParseUint(g.Seed, 16, 64); err != nil {
-		return nil, nil, fmt.Errorf("seed %q is no number in hexadecimal form", g.Seed)
+	if settings.Seed, err = strconv.ParseUint(g.Seed, 16, 64); err != nil {
+		return nil, nil, fmt.Errorf("seed: expected a hexadecimal number of at most 64 bits, found %q", g.Seed)
 	}
-	if len(told.OpTypes) == 0 {
-		return nil, nil, errors.New("the settings name no op type")
+	if len(settings.OpTypes) == 0 {
+		return nil, nil, errors.New("settings: expected at least one op type, found none")
 	}
-	// On sockets no list comes by itself, whatever way the deployment has of its own: it is asked for.
-	told.AskWithin = discovery.AskWithin(told)
-	told.ListOnRequest = true
-	if _, _, err := discovery.NewNames(exchange.StartClock(), told).Convert(&g.Known); err != nil {
+	// Discovery over HTTP sends lists only on request, even if the deployment's settings say that they are pushed.
+	settings.AskWithin = discovery.AskWithin(settings)
+	settings.ListOnRequest = true
+	if _, _, err := discovery.NewNames(exchange.StartClock(), settings).Convert(&g.Known); err != nil {
 		return nil, nil, fmt.Errorf("known: %w", err)
 	}
-	return g, told, nil
+	return g, settings, nil
 }
 
-// reload reads the file again at each SIGHUP and moves to its discovery. Nothing else of it can change while running; of our
-// own settings the gossip's keys can.
-func reloadOnSignal(ctx context.Context, asked <-chan os.Signal, at string, lists *discovery.Client, path string, gossip *carrier.Carrier) error {
+// reloadOnSignal reads the platform's configuration again at each SIGHUP and moves to the discovery address in it. It also
+// reads the gossip's keys again. Other changes of either file take effect only after a restart.
+func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, addr string, lists *discovery.Client, settingsPath string, gossip *carrier.Carrier) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-asked:
+		case <-signals:
 		}
 		if gossip != nil {
-			if err := rekey(path, gossip); err != nil {
+			if err := rekey(settingsPath, gossip); err != nil {
 				slog.Error("rekey_failed", "error", err)
 			} else {
 				slog.Info("rekeyed")
@@ -110,18 +116,18 @@
 		switch {
 		case err != nil:
 			slog.Error("reload_failed", "error", err)
-		case g.Discovery == at:
-			slog.Info("reloaded", "discovery", at)
+		case g.Discovery == addr:
+			slog.Info("reloaded", "discovery", addr)
 		default:
-			at = g.Discovery
-			lists.Move(at)
+			addr = g.Discovery
+			lists.Move(addr)
 		}
 	}
 }
 
-// rekey reads the gossip's keys again, from the files that the settings name now.
-func rekey(path string, gossip *carrier.Carrier) error {
-	settings, err := config.Load(path)
+// rekey reads the gossip's keys again, from the files that the settings file now names.
+func rekey(settingsPath string, gossip *carrier.Carrier) error {
+	settings, err := config.Load(settingsPath)
 	if err != nil {
 		return err
 	}
@@ -133,8 +139,8 @@
 	return gossip.Rekey(ring)
 }
 
-// share makes the gossip, where the settings want it; nil otherwise.
-func newGossip(settings *config.Settings, name string, clock exchange.Clock, desk *dispatch.Dispatch, names *discovery.Names) (*carrier.Carrier, error) {
+// newGossip opens the gossip's sockets and connects the gossip to the dispatcher. It returns nil if gossip is disabled.
+func newGossip(settings *config.Settings, name string, clock exchange.Clock, dispatcher *dispatch.Dispatch, names *discovery.Names) (*carrier.Carrier, error) {
 	s := &settings.Gossip
 	if !s.Enabled {
 		return nil, nil
@@ -143,38 +149,40 @@
 	if err != nil {
 		return nil, err
 	}
-	gossip, err := carrier.New(*s, name, ring, clock, desk, names.ID)
+	gossip, err := carrier.New(*s, name, ring, clock, dispatcher, names.ID)
 	if err != nil {
 		return nil, err
 	}
-	desk.SetGossip(gossip)
+	dispatcher.SetGossip(gossip)
 	slog.Info("gossip", "what", "listening", "addr", gossip.Addr().String())
 	return gossip, nil
 }
 
-// messageShare is the part of the memory that one message may take: values come longer than the protocol's page says.
+// messageMemoryDivisor limits one message to 1/64 of the memory limit. The limit depends on the memory because values may be
+// longer than the protocol's description says.
 const messageMemoryDivisor = 64
 
-// spare is how many descriptors are kept for the standard streams, the listener, discovery, the runtime and clients
-// that are being turned away.
+// reservedDescriptors is the number of descriptors kept for the standard streams, the listener, discovery, the runtime and
+// clients whose connections are being refused.
 const reservedDescriptors = 32
 
-// leastServers is how many connections to servers a gateway can do with; it has twice as many to clients.
+// minServerConns is the least number of connections to servers with which a gateway runs. Clients get about twice as many.
 const minServerConns = 4
 
-// gossipSockets are the gossip's own descriptors, beside the streams that others open.
+// gossipDescriptors is the number of descriptors that gossip uses in addition to its inbound streams.
 const gossipDescriptors = 6
 
-func run(path string, settings *config.Settings) error {
+// run runs the gateway until SIGTERM or SIGINT and then stops it as planned.
+func run(settingsPath string, settings *config.Settings) error {
 	logTo(os.Stderr, settings.Log.Level.Level)
-	// Caught from here until the process ends: what follows a planned stop must not end it either.
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
-	g, told, err := readPlatformConfig(true)
+	// SIGHUP is handled until the process ends, so that one that arrives during a planned stop does not kill the process.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	g, deployed, err := readPlatformConfig(true)
 	if err != nil {
 		return err
 	}
-	told.MaxMessageBytes = int(g.Limits.MemoryMB) << 20 / messageMemoryDivisor
+	deployed.MaxMessageBytes = int(g.Limits.MemoryMB) << 20 / messageMemoryDivisor
 	runtime.GOMAXPROCS(max(1, int(g.Limits.Cores)))
 	if g.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(g.Limits.MemoryMB << 20 * 3 / 4)
@@ -187,12 +195,12 @@
 	if settings.Gossip.Enabled {
 		sockets -= settings.Gossip.Limits.Streams + gossipDescriptors
 	}
-	servers := (sockets - reservedDescriptors) / 3
-	if servers < minServerConns {
-		return fmt.Errorf("limits.sockets: %d are too few, of which %d are for servers and clients", g.Limits.Sockets, sockets-reservedDescriptors)
+	serverConns := (sockets - reservedDescriptors) / 3
+	if serverConns < minServerConns {
+		return fmt.Errorf("limits.sockets: %d leaves only %d descriptors for servers and clients", g.Limits.Sockets, sockets-reservedDescriptors)
 	}
 	clock, counts := exchange.StartClock(), &counters.Set{}
-	names := discovery.NewNames(clock, told)
+	names := discovery.NewNames(clock, deployed)
 	known, addrs, err := names.Convert(&g.Known)
 	if err != nil {
 		return err
@@ -201,38 +209,38 @@
 	if err != nil {
 		return err
 	}
-	// Before clients can come: what they have sent when SIGTERM comes is answered.
-	stop, unhook := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer unhook()
+	// SIGTERM is handled before clients can connect, so that ops that have arrived before it are answered.
+	stopCtx, stopNotify := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stopNotify()
 	l, err := net.ListenTCP("tcp", addr)
 	if err != nil {
 		return err
 	}
-	work, finish := context.WithCancel(context.Background())
-	defer finish()
+	workCtx, cancelWork := context.WithCancel(context.Background())
+	defer cancelWork()
 
-	desk := dispatch.New(clock, counts)
-	gossip, err := newGossip(settings, g.Name, clock, desk, names)
+	dispatcher := dispatch.New(clock, counts)
+	gossip, err := newGossip(settings, g.Name, clock, dispatcher, names)
 	if err != nil {
 		return errors.Join(err, l.Close())
 	}
-	pool := serverside.New(work, clock, desk, counts, told, servers)
-	front := clientside.New(clock, desk, counts, told, sockets-reservedDescriptors-servers)
-	lists := discovery.New(g.Discovery, g.Known.Version, names, told, desk, counts)
-	desk.Start(pool, lists, &told.Deployment, known, addrs)
+	pool := serverside.New(workCtx, clock, dispatcher, counts, deployed, serverConns)
+	acceptor := clientside.New(clock, dispatcher, counts, deployed, sockets-reservedDescriptors-serverConns)
+	lists := discovery.New(g.Discovery, g.Known.Version, names, deployed, dispatcher, counts)
+	dispatcher.Start(pool, lists, &deployed.Deployment, known, addrs)
 	slog.Info("started", "name", g.Name, "listen", g.Listen)
 
 	var group errgroup.Group
-	group.Go(func() error { return desk.Run(work) })
-	group.Go(func() error { return lists.Run(work) })
+	group.Go(func() error { return dispatcher.Run(workCtx) })
+	group.Go(func() error { return lists.Run(workCtx) })
 	group.Go(pool.Wait)
-	group.Go(func() error { return reloadOnSignal(work, again, g.Discovery, lists, path, gossip) })
-	group.Go(func() error { return logCounters(work, counts, gossip) })
+	group.Go(func() error { return reloadOnSignal(workCtx, hangups, g.Discovery, lists, settingsPath, gossip) })
+	group.Go(func() error { return logCounters(workCtx, counts, gossip) })
 	if gossip != nil {
-		group.Go(func() error { return gossip.Run(work) })
+		group.Go(func() error { return gossip.Run(workCtx) })
 	}
-	err = front.Serve(stop, l)
-	finish()
+	err = acceptor.Serve(stopCtx, l)
+	cancelWork()
 	err = errors.Join(err, group.Wait())
 	if gossip != nil {
 		slog.LogAttrs(context.Background(), slog.LevelInfo, "gossip_counters", gossip.Attrs()...)
@@ -241,9 +249,10 @@
 	return err
 }
 
-// logTo sends the log to w as key=value, with event first after the time. Nothing of an op is ever logged, so lines are few.
-func logTo(w io.Writer, least slog.Level) {
-	slog.SetDefault(slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: least,
+// logTo makes the default logger write lines of key=value pairs to w, with the message under the key event. Nothing is
+// logged for single ops, so that there are few lines.
+func logTo(w io.Writer, minLevel slog.Level) {
+	slog.SetDefault(slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: minLevel,
 		ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
 			switch {
 			case len(groups) > 0:
@@ -256,16 +265,16 @@
 		}})))
 }
 
-// printCounters prints the counters whenever SIGUSR1 asks for them.
+// logCounters logs the counters at each SIGUSR1.
 func logCounters(ctx context.Context, counts *counters.Set, gossip *carrier.Carrier) error {
-	asked := make(chan os.Signal, 1)
-	signal.Notify(asked, syscall.SIGUSR1)
-	defer signal.Stop(asked)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR1)
+	defer signal.Stop(signals)
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-asked:
+		case <-signals:
 			slog.LogAttrs(ctx, slog.LevelInfo, "counters", counts.Attrs()...)
 			if gossip != nil {
 				slog.LogAttrs(ctx, slog.LevelInfo, "gossip_counters", gossip.Attrs()...)
