--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -131,7 +131,7 @@
 	return c, err
 }
 
-// DialTCP connects without sending a startup message. Reads and writes fail from 20 s after that on.
+// DialTCP connects without sending a startup message. The deadline of the connection is 20 s after the call.
 func Open(addr string) (*Client, error) {
 	nc, err := net.DialTimeout("tcp", addr, 5*time.Second)
 	if err != nil {
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -201,7 +201,7 @@
 	return key + "." + name
 }
 
-// Raw is a part of a file that is read later, when the type to read it into is known.
+// Raw is a part of a file that is read later, once the value to read it into is known.
 type Raw struct {
 	file *File
 	key  string
