--- a/cmd/gorsewell/endings_test.go
+++ b/cmd/gorsewell/endings_test.go
@@ -77,7 +77,7 @@
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil); err != nil {
 		t.Fatal(err)
 	}
-	for n := range 3 * sockets { // connections above the limit are refused
+	for n := range 3 * sockets { // connections above the limit get an error and are closed
 		c, err := standin.Open(addr)
 		if err != nil {
 			t.Fatal(err)
