--- a/cmd/gorsewell/main.go
+++ b/cmd/gorsewell/main.go
@@ -1,4 +1,4 @@
-// Command gorsewell is the gateway: it takes ops from clients on a socket and carries each to a database server.
+// Command gorsewell is the gateway. It accepts ops from clients on a socket and sends each to a database server.
 package main
 
 import (
@@ -13,20 +13,20 @@
 	"gorsewell/internal/yamlfile"
 )
 
-// The exit codes of all commands of this project.
+// Exit codes. All commands of this project use them.
 const (
-	couldNotRun = 1
-	badInput    = 2
+	exitFailure = 1 // the command could not run
+	exitUsage   = 2 // invalid arguments or an invalid file
 )
 
-// badUsage marks an error as one of what was typed or written, not of the surroundings.
-type badUsage struct{ error }
+// usageError is an error in the arguments or in a file, as opposed to one of the environment.
+type usageError struct{ error }
 
 func main() { os.Exit(execute(os.Args[1:])) }
 
-// execute runs the command and gives its exit code.
+// execute runs the command and returns its exit code.
 func execute(args []string) int {
-	root := commands()
+	root := rootCommand()
 	root.SetArgs(args)
 	err := root.Execute()
 	if err == nil {
@@ -34,21 +34,21 @@
 	}
 	var problems yamlfile.Problems
 	switch {
-	case errors.As(err, &problems): // a line each, which an editor can follow
+	case errors.As(err, &problems): // printed without a prefix, so that editors can parse FILE:LINE
 		fmt.Fprintln(os.Stderr, problems)
-		return badInput
-	case errors.As(err, new(badUsage)):
+		return exitUsage
+	case errors.As(err, new(usageError)):
 		fmt.Fprintln(os.Stderr, "gorsewell:", err)
-		return badInput
+		return exitUsage
 	}
 	fmt.Fprintln(os.Stderr, "gorsewell:", err)
-	return couldNotRun
+	return exitFailure
 }
 
-// settingsVariable names the settings where the flag does not.
+// settingsVariable is the environment variable with the path of the settings file. The flag --config overrides it.
 const settingsVariable = "GORSEWELL_CONFIG"
 
-func commands() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var path string
 	start := func(*cobra.Command, []string) error {
 		if path == "" {
@@ -63,45 +63,45 @@
 	root := &cobra.Command{
 		Use:           "gorsewell",
 		Short:         "A gateway that spreads reads over database replicas so that no session outruns its own writes",
-		Long:          "Without a sub-command it runs the gateway, as `gorsewell run` does.",
-		Args:          usage(cobra.NoArgs),
+		Long:          "Without a sub-command, runs the gateway like `gorsewell run`.",
+		Args:          checkArgs(cobra.NoArgs),
 		RunE:          start,
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badUsage{err} })
-	runs := &cobra.Command{
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return usageError{err} })
+	runCommand := &cobra.Command{
 		Use:     "run",
 		Short:   "Run the gateway until SIGTERM",
-		Long:    "Runs the gateway. The platform's surroundings are read from LB_CONFIG; settings of our own are optional.",
+		Long:    "Runs the gateway. The platform's configuration is read from the file at LB_CONFIG. The gateway's own settings are optional.",
 		Example: "  LB_CONFIG=gateway.json gorsewell run --config deploy/gorsewell.yaml",
-		Args:    usage(cobra.NoArgs),
+		Args:    checkArgs(cobra.NoArgs),
 		RunE:    start,
 	}
-	for _, c := range []*cobra.Command{root, runs} {
-		c.Flags().StringVar(&path, "config", "", "YAML file of our own settings; else "+settingsVariable+" names it, else there are none")
+	for _, c := range []*cobra.Command{root, runCommand} {
+		c.Flags().StringVar(&path, "config", "", "YAML file with the gateway's own settings; if empty, the value of "+settingsVariable+", if any")
 	}
-	root.AddCommand(runs, checks(), keyCommands(), versions())
+	root.AddCommand(runCommand, checkCommand(), keysCommand(), versionCommand())
 	return root
 }
 
-// usage marks what a check of arguments finds as bad usage.
-func usage(check cobra.PositionalArgs) cobra.PositionalArgs {
+// checkArgs returns a check of arguments whose errors are of type usageError.
+func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(c *cobra.Command, args []string) error {
 		if err := check(c, args); err != nil {
-			return badUsage{err}
+			return usageError{err}
 		}
 		return nil
 	}
 }
 
-func checks() *cobra.Command {
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "check FILE",
-		Short:   "Check a file of settings and tell all that is wrong with it",
-		Long:    "Checks a file of settings. Each problem is one line with file, line and key; the exit code is then 2.",
+		Short:   "Check a settings file and report all its problems",
+		Long:    "Checks a settings file and prints one line for each problem, with file, line and key. The exit code is 2 if there are any.",
 		Example: "  gorsewell check deploy/gorsewell.yaml",
-		Args:    usage(cobra.ExactArgs(1)),
+		Args:    checkArgs(cobra.ExactArgs(1)),
 		RunE: func(c *cobra.Command, args []string) error {
 			if _, err := config.Load(args[0]); err != nil {
 				return err
@@ -112,20 +112,20 @@
 	}
 }
 
-func versions() *cobra.Command {
+func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
-		Args:  usage(cobra.NoArgs),
+		Args:  checkArgs(cobra.NoArgs),
 		Run: func(c *cobra.Command, _ []string) {
-			built := "unknown Go"
+			goVersion := "unknown Go"
 			if info, ok := debug.ReadBuildInfo(); ok {
-				built = info.GoVersion
+				goVersion = info.GoVersion
 			}
-			fmt.Fprintf(c.OutOrStdout(), "gorsewell %s, %s\n", version, built)
+			fmt.Fprintf(c.OutOrStdout(), "gorsewell %s, %s\n", version, goVersion)
 		},
 	}
 }
 
-// version is what CHANGELOG.md calls the text that this was built from.
+// version is the version of this source in CHANGELOG.md.
 const version = "0.3.0-dev"
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,10 @@
-// Package simwire speaks the bench's binary wire: it decodes events into calls of a gateway's
-// methods and encodes what the gateway does as actions.
+// Package simwire implements the simulator's binary protocol. It decodes events into calls of the decision module,
+// package choice, and encodes the calls that the module makes to its Host as actions. One connection carries the events
+// and actions of many gateways, called instances.
+//
+// The input consists of frames: a header, records of fixed size, one for each event, and a tail of variable data that
+// records refer to by offset and length. Each frame gets one reply of the same structure with records of actions.
+// Numbers are big-endian.
 package simwire
 
 import (
@@ -17,192 +22,199 @@
 )
 
 const (
-	headerSize = 20
-	eventSize  = 48
-	actionSize = 24
-	entrySize  = 25
-	maxPages   = 16
+	headerSize    = 20 // bytes of a frame's header
+	eventSize     = 48 // bytes of an event record
+	actionSize    = 24 // bytes of an action record
+	listEntrySize = 25 // bytes of a server in a list
+	maxLists      = 16 // lists stored by number
 )
 
-var be = binary.BigEndian
+var bigEndian = binary.BigEndian
 
-type wire struct {
-	in       *bufio.Reader
-	frame    bytes.Buffer
-	tail     []byte // the tail of the frame being read
-	clock    uint64
-	pages    [maxPages][]byte
-	known    [maxPages]bool
-	gateways map[uint16]*instance
-	listed   []choice.Listed // reused for each list handed over
-	out      []byte          // records of the reply
-	outTail  []byte
-	actions  uint32
+// conn is the connection to the simulator.
+type conn struct {
+	input         *bufio.Reader
+	frame         bytes.Buffer     // records and tail of the frame being handled
+	tail          []byte           // tail of the frame being handled
+	clock         uint64           // simulator clock of that frame, in nanoseconds
+	lists         [maxLists][]byte // entries of the stored lists, by number
+	listStored    [maxLists]bool   // whether the list of that number has been sent; it may be empty
+	instances     map[uint16]*instance
+	listed        []choice.Listed // reused for each list passed to a gateway
+	actionRecords []byte          // records of the reply
+	actionTail    []byte          // tail of the reply
+	actionCount   uint32          // number of records of the reply
 }
 
-// Serve answers batches from r on w until r ends. An error tells what is malformed and where.
+// Serve handles the frames from r and writes the replies to w until r ends. It returns an error that says what is
+// malformed and in which frame, or that the reply could not be written.
 func Serve(r io.Reader, w io.Writer) error {
-	x := &wire{in: bufio.NewReaderSize(r, 1<<16), gateways: map[uint16]*instance{}}
+	c := &conn{input: bufio.NewReaderSize(r, 1<<16), instances: map[uint16]*instance{}}
 	for n := 1; ; n++ {
-		batch, err := x.read()
+		batch, err := c.readFrame()
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			return fmt.Errorf("frame %d: %w", n, err)
 		}
-		if err := x.reply(w, batch); err != nil {
+		if err := c.writeReply(w, batch); err != nil {
 			return err
 		}
 	}
 }
 
-// read takes one frame and hands each of its events over.
-func (x *wire) read() (batch uint32, err error) {
+// readFrame reads one frame and handles its events.
+func (c *conn) readFrame() (batch uint32, err error) {
 	var head [headerSize]byte
-	if _, err := io.ReadFull(x.in, head[:]); err != nil {
+	if _, err := io.ReadFull(c.input, head[:]); err != nil {
 		if err == io.ErrUnexpectedEOF {
 			return 0, errors.New("input ends inside the header")
 		}
 		return 0, err
 	}
-	size, count := be.Uint32(head[0:]), be.Uint32(head[12:])
-	x.clock, batch = be.Uint64(head[4:]), be.Uint32(head[16:])
+	size, count := bigEndian.Uint32(head[0:]), bigEndian.Uint32(head[12:])
+	c.clock, batch = bigEndian.Uint64(head[4:]), bigEndian.Uint32(head[16:])
 	if size < headerSize {
 		return 0, fmt.Errorf("length %d is shorter than the header", size)
 	}
-	body := int64(size) - headerSize
-	if int64(count)*eventSize > body {
-		return 0, fmt.Errorf("%d records do not fit into %d bytes", count, body)
+	bodySize := int64(size) - headerSize
+	if int64(count)*eventSize > bodySize {
+		return 0, fmt.Errorf("%d records do not fit into %d bytes", count, bodySize)
 	}
-	x.frame.Reset()
-	// CopyN grows the buffer only as bytes arrive, whatever length the header claims.
-	if _, err := io.CopyN(&x.frame, x.in, body); err != nil {
+	c.frame.Reset()
+	// CopyN grows the buffer only as bytes arrive, so that a wrong length in the header cannot cause a large allocation.
+	if _, err := io.CopyN(&c.frame, c.input, bodySize); err != nil {
 		return 0, errors.New("input ends inside the frame")
 	}
-	all := x.frame.Bytes()
-	records := all[:int(count)*eventSize]
-	x.tail = all[len(records):]
-	x.out, x.outTail, x.actions = x.out[:0], x.outTail[:0], 0
+	body := c.frame.Bytes()
+	records := body[:int(count)*eventSize]
+	c.tail = body[len(records):]
+	c.actionRecords, c.actionTail, c.actionCount = c.actionRecords[:0], c.actionTail[:0], 0
 	for i := 0; i < len(records); i += eventSize {
-		if err := x.event(records[i : i+eventSize]); err != nil {
+		if err := c.handleEvent(records[i : i+eventSize]); err != nil {
 			return 0, fmt.Errorf("record %d: %w", i/eventSize, err)
 		}
 	}
 	return batch, nil
 }
 
-func (x *wire) reply(w io.Writer, batch uint32) error {
+// writeReply writes the reply to the frame with the given batch number.
+func (c *conn) writeReply(w io.Writer, batch uint32) error {
 	var head [12]byte
-	be.PutUint32(head[0:], uint32(len(head)+len(x.out)+len(x.outTail)))
-	be.PutUint32(head[4:], x.actions)
-	be.PutUint32(head[8:], batch)
-	x.out = append(x.out, x.outTail...)
-	if _, err := w.Write(append(head[:], x.out...)); err != nil {
+	bigEndian.PutUint32(head[0:], uint32(len(head)+len(c.actionRecords)+len(c.actionTail)))
+	bigEndian.PutUint32(head[4:], c.actionCount)
+	bigEndian.PutUint32(head[8:], batch)
+	c.actionRecords = append(c.actionRecords, c.actionTail...)
+	if _, err := w.Write(append(head[:], c.actionRecords...)); err != nil {
 		return fmt.Errorf("reply: %w", err)
 	}
 	return nil
 }
 
-// bytesAt returns n units of the tail from the place that the field names.
-func (x *wire) bytesAt(field []byte, unit int) ([]byte, error) {
-	off, n := int64(be.Uint32(field)), int64(be.Uint32(field[4:]))*int64(unit)
-	if off+n > int64(len(x.tail)) {
-		return nil, fmt.Errorf("offset %d with %d bytes lies outside the tail of %d", off, n, len(x.tail))
+// tailBytes returns the part of the frame's tail that a field refers to by its offset in bytes and its number of units,
+// which are unitSize bytes each.
+func (c *conn) tailBytes(field []byte, unitSize int) ([]byte, error) {
+	offset, length := int64(bigEndian.Uint32(field)), int64(bigEndian.Uint32(field[4:]))*int64(unitSize)
+	if offset+length > int64(len(c.tail)) {
+		return nil, fmt.Errorf("offset %d and length %d are outside the tail of %d bytes", offset, length, len(c.tail))
 	}
-	return x.tail[off : off+n], nil
+	return c.tail[offset : offset+length], nil
 }
 
-// The codes of events.
+// Codes of events. eventPeer and eventFirst are ignored.
 const (
-	evClientGone = iota
-	evOp
-	evStop
-	evPeer
-	evStart
-	evTimer
-	evList
-	evProbed
-	evPage
-	evAnswer
-	evFirst
+	eventClientGone = iota
+	eventOp
+	eventStop
+	eventPeer
+	eventStart
+	eventTimer
+	eventList
+	eventProbeEnded
+	eventListData
+	eventSendEnded
+	eventFirst
 )
 
-func (x *wire) event(b []byte) (err error) {
+// handleEvent handles the event in the record b.
+func (c *conn) handleEvent(b []byte) (err error) {
 	code := b[0]
-	if code == evPage {
-		return x.page(b)
+	if code == eventListData {
+		return c.storeList(b)
 	}
-	if code > evFirst {
+	if code > eventFirst {
 		return fmt.Errorf("unknown event code %d", code)
 	}
-	who := be.Uint16(b[1:])
-	if code == evStart {
-		return x.start(who, b)
+	id := bigEndian.Uint16(b[1:])
+	if code == eventStart {
+		return c.startInstance(id, b)
 	}
-	in := x.gateways[who]
+	in := c.instances[id]
 	if in == nil {
-		return fmt.Errorf("event %d for instance %d, which is not running", code, who)
+		return fmt.Errorf("event code %d is for instance %d, which is not running", code, id)
 	}
-	if code == evStop {
-		delete(x.gateways, who)
+	if code == eventStop {
+		delete(c.instances, id)
 		return nil
 	}
-	defer in.caught(&err)
+	defer in.recoverPanic(&err)
 	now, g := in.now(), in.gateway
 	switch code {
-	case evClientGone:
-		g.ClientGone(now, be.Uint32(b[3:]))
-	case evOp:
-		if int(b[7]) >= in.types {
-			return fmt.Errorf("op type %d of %d", b[7], in.types)
+	case eventClientGone:
+		g.ClientGone(now, bigEndian.Uint32(b[3:]))
+	case eventOp:
+		if int(b[7]) >= in.opTypeCount {
+			return fmt.Errorf("op type %d is unknown: the settings define %d", b[7], in.opTypeCount)
 		}
-		g.Op(now, be.Uint32(b[3:]), b[7], be.Uint64(b[12:]), in.span(be.Uint64(b[20:])),
-			uint16(float32At(b[36:])), millis(float64(float32At(b[40:]))), b[44]&2 != 0)
-	case evTimer:
-		g.Timer(now, be.Uint32(b[3:]))
-	case evList:
-		return x.list(in, b)
-	case evProbed:
-		result, err := resultOf(be.Uint16(b[7:]))
+		g.Op(now, bigEndian.Uint32(b[3:]), b[7], bigEndian.Uint64(b[12:]), in.sinceStart(bigEndian.Uint64(b[20:])),
+			uint16(float32At(b[36:])), milliseconds(float64(float32At(b[40:]))), b[44]&2 != 0)
+	case eventTimer:
+		g.Timer(now, bigEndian.Uint32(b[3:]))
+	case eventList:
+		return c.passList(in, b)
+	case eventProbeEnded:
+		result, err := resultOf(bigEndian.Uint16(b[7:]))
 		if err != nil {
 			return err
 		}
-		in.report(b[17:], be.Uint32(b[3:]))
-		g.ProbeAnswer(now, be.Uint32(b[3:]), result, time.Duration(be.Uint64(b[9:])))
-	case evAnswer:
-		result, err := resultOf(be.Uint16(b[12:]))
+		in.passReport(b[17:], bigEndian.Uint32(b[3:]))
+		g.ProbeAnswer(now, bigEndian.Uint32(b[3:]), result, time.Duration(bigEndian.Uint64(b[9:])))
+	case eventSendEnded:
+		result, err := resultOf(bigEndian.Uint16(b[12:]))
 		if err != nil {
 			return err
 		}
-		in.report(b[27:], be.Uint32(b[8:]))
-		note := be.Uint32(b[23:])
-		pos := in.zero + time.Duration(note>>2)*time.Millisecond
-		if note>>2 == 0 {
+		in.passReport(b[27:], bigEndian.Uint32(b[8:]))
+		status := bigEndian.Uint32(b[23:]) // upper 30 bits: position in milliseconds, 0 if unknown; lower 2: role
+		pos := in.positionEpoch + time.Duration(status>>2)*time.Millisecond
+		if status>>2 == 0 {
 			pos = choice.LongPast
 		}
-		g.Answer(now, be.Uint32(b[3:]), b[7], be.Uint32(b[8:]), result,
-			time.Duration(be.Uint64(b[14:])), b[22] != 0, roleOf(note&3), pos)
+		g.Answer(now, bigEndian.Uint32(b[3:]), b[7], bigEndian.Uint32(b[8:]), result,
+			time.Duration(bigEndian.Uint64(b[14:])), b[22] != 0, roleOf(status&3), pos)
 	}
 	return nil
 }
 
-func (x *wire) page(b []byte) error {
-	n := be.Uint32(b[1:])
-	if n >= maxPages {
-		return fmt.Errorf("list number %d is over %d", n, maxPages-1)
+// storeList stores a list under its number, for later events that refer to it.
+func (c *conn) storeList(b []byte) error {
+	n := bigEndian.Uint32(b[1:])
+	if n >= maxLists {
+		return fmt.Errorf("list number %d is more than the maximum %d", n, maxLists-1)
 	}
-	entries, err := x.bytesAt(b[5:], entrySize)
+	entries, err := c.tailBytes(b[5:], listEntrySize)
 	if err != nil {
 		return err
 	}
-	x.pages[n] = append(x.pages[n][:0], entries...)
-	x.known[n] = true
+	c.lists[n] = append(c.lists[n][:0], entries...)
+	c.listStored[n] = true
 	return nil
 }
 
-func (x *wire) start(who uint16, b []byte) (err error) {
-	text, err := x.bytesAt(b[11:], 1)
+// startInstance starts a gateway with the settings that the event carries.
+func (c *conn) startInstance(id uint16, b []byte) (err error) {
+	text, err := c.tailBytes(b[11:], 1)
 	if err != nil {
 		return err
 	}
@@ -210,34 +222,35 @@
 	if err != nil {
 		return err
 	}
-	told, err := values.Read()
+	settings, err := values.Read()
 	if err != nil {
 		return err
 	}
-	told.Seed = be.Uint64(b[3:])
-	in := &instance{x: x, who: who, base: x.clock, types: len(told.OpTypes), names: told.ReportNames}
-	if told.PositionEpoch > 0 {
-		in.zero = in.span(told.PositionEpoch)
+	settings.Seed = bigEndian.Uint64(b[3:])
+	in := &instance{conn: c, id: id, startClock: c.clock, opTypeCount: len(settings.OpTypes), reportNames: settings.ReportNames}
+	if settings.PositionEpoch > 0 {
+		in.positionEpoch = in.sinceStart(settings.PositionEpoch)
 	}
-	x.gateways[who] = in
-	defer in.caught(&err)
-	in.gateway = choice.New(in, &told.Deployment)
+	c.instances[id] = in
+	defer in.recoverPanic(&err)
+	in.gateway = choice.New(in, &settings.Deployment)
 	return nil
 }
 
-func (x *wire) list(in *instance, b []byte) error {
+// passList passes the list that an event refers to, or the failure to get one, to the gateway.
+func (c *conn) passList(in *instance, b []byte) error {
 	scopes := [...]choice.ListScope{choice.ListCached, choice.ListFull, choice.ListFailed, choice.ListChanges}
 	if int(b[11]) >= len(scopes) {
 		return fmt.Errorf("unknown list scope %d", b[11])
 	}
 	scope := scopes[b[11]]
-	x.listed = x.listed[:0]
+	c.listed = c.listed[:0]
 	if scope != choice.ListFailed {
-		n := be.Uint32(b[3:])
-		if n >= maxPages || !x.known[n] {
+		n := bigEndian.Uint32(b[3:])
+		if n >= maxLists || !c.listStored[n] {
 			return fmt.Errorf("list number %d was never sent", n)
 		}
-		for e := x.pages[n]; len(e) > 0; e = e[entrySize:] {
+		for e := c.lists[n]; len(e) > 0; e = e[listEntrySize:] {
 			state := choice.Gone
 			switch e[24] {
 			case 0:
@@ -249,24 +262,24 @@
 				return fmt.Errorf("unknown server status %d", e[24])
 			}
 			started := choice.LongPast
-			if at := be.Uint64(e[5:]); at != 0 {
-				started = in.span(at)
+			if clock := bigEndian.Uint64(e[5:]); clock != 0 {
+				started = in.sinceStart(clock)
 			}
-			x.listed = append(x.listed, choice.Listed{ID: be.Uint32(e[20:]), Group: be.Uint16(e[17:]),
+			c.listed = append(c.listed, choice.Listed{ID: bigEndian.Uint32(e[20:]), Group: bigEndian.Uint16(e[17:]),
 				Zone: e[0], Kind: e[19], Primary: float32At(e[1:]) == 1, State: state, Started: started,
 				Weight: float32At(e[13:])})
 		}
 	}
-	in.gateway.List(in.now(), scope, x.listed)
+	in.gateway.List(in.now(), scope, c.listed)
 	return nil
 }
 
-func float32At(b []byte) float32 { return math.Float32frombits(be.Uint32(b)) }
+func float32At(b []byte) float32 { return math.Float32frombits(bigEndian.Uint32(b)) }
 
-func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-func roleOf(n uint32) choice.Role {
-	switch n {
+func roleOf(code uint32) choice.Role {
+	switch code {
 	case 1:
 		return choice.Primary
 	case 2:
@@ -275,8 +288,9 @@
 	return choice.RoleUnknown
 }
 
-func resultOf(rc uint16) (choice.Result, error) {
-	switch rc {
+// resultOf returns the result for an outcome code of the protocol.
+func resultOf(code uint16) (choice.Result, error) {
+	switch code {
 	case 0:
 		return choice.Acked, nil
 	case 5:
@@ -296,5 +310,5 @@
 	case 2:
 		return choice.Declined, nil
 	}
-	return 0, fmt.Errorf("unknown outcome %d", rc)
+	return 0, fmt.Errorf("unknown outcome code %d", code)
 }
