--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -23,7 +23,7 @@
 func colour(i int) color.Color { return colours[i%len(colours)] }
 
 // draw draws one chart, as SVG.
-func (r *Result) draw(c *Chart, dir string) error {
+func (r *Result) drawChart(c *Chart, dir string) error {
 	arms := c.Arms
 	if len(arms) == 0 {
 		arms = r.Order
@@ -45,11 +45,11 @@
 	switch c.Kind {
 	case "bars":
 		width = max(width, vg.Length(len(arms))*2.2*vg.Centimeter)
-		err = r.bars(p, arms, metric)
+		err = r.drawBars(p, arms, metric)
 	case "line":
-		err = r.line(p, arms, metric)
+		err = r.drawLines(p, arms, metric)
 	default:
-		err = r.time(p, arms)
+		err = r.drawTime(p, arms)
 	}
 	if err != nil {
 		return err
@@ -58,29 +58,29 @@
 }
 
 // spread are points with their intervals.
-type spread struct {
+type pointsWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
-func (r *Result) label(arm string) string {
-	if r.file != nil {
-		return r.file.Arm(arm).Label
+func (r *Result) armLabel(arm string) string {
+	if r.source != nil {
+		return r.source.Arm(arm).Label
 	}
 	return arm
 }
 
 // bars draws a metric by arm, each with its interval. The axis begins where differences can be seen, and says so.
-func (r *Result) bars(p *plot.Plot, arms []string, metric string) error {
+func (r *Result) drawBars(p *plot.Plot, arms []string, metric string) error {
 	var names []string
-	s := spread{}
+	s := pointsWithErrors{}
 	low, high := math.Inf(1), math.Inf(-1)
 	for i, arm := range arms {
 		f, ok := r.Arms[arm][metric]
 		if !ok {
 			return fmt.Errorf("arm %s has no %s", arm, metric)
 		}
-		names = append(names, r.label(arm))
+		names = append(names, r.armLabel(arm))
 		s.XYs = append(s.XYs, plotter.XY{X: float64(i), Y: f.Mean})
 		s.YErrors = append(s.YErrors, struct{ Low, High float64 }{f.Mean - f.Low, f.High - f.Mean})
 		low, high = min(low, f.Low), max(high, f.High)
@@ -128,14 +128,14 @@
 
 // line draws a metric over the numbers that the arms' labels are. Arms whose names begin alike, up to the last dash, are
 // one line.
-func (r *Result) line(p *plot.Plot, arms []string, metric string) error {
-	lines := map[string]*spread{}
+func (r *Result) drawLines(p *plot.Plot, arms []string, metric string) error {
+	lines := map[string]*pointsWithErrors{}
 	var names []string
 	for _, arm := range arms {
 		f, ok := r.Arms[arm][metric]
-		x, err := strconv.ParseFloat(r.label(arm), 64)
+		x, err := strconv.ParseFloat(r.armLabel(arm), 64)
 		if !ok || err != nil {
-			return fmt.Errorf("arm %s: %s over %q", arm, metric, r.label(arm))
+			return fmt.Errorf("arm %s: %s over %q", arm, metric, r.armLabel(arm))
 		}
 		name := arm
 		for i := len(arm) - 1; i > 0; i-- {
@@ -145,7 +145,7 @@
 			}
 		}
 		if lines[name] == nil {
-			lines[name] = &spread{}
+			lines[name] = &pointsWithErrors{}
 			names = append(names, name)
 		}
 		lines[name].XYs = append(lines[name].XYs, plotter.XY{X: x, Y: f.Mean})
@@ -173,7 +173,7 @@
 }
 
 // time draws service over the day, the mean of the seeds, in windows of a few seconds, with the faults' times marked.
-func (r *Result) time(p *plot.Plot, arms []string) error {
+func (r *Result) drawTime(p *plot.Plot, arms []string) error {
 	p.X.Label.Text = "seconds since the first op"
 	if p.Y.Label.Text == "" || p.Y.Label.Text == "service" {
 		p.Y.Label.Text = "service"
@@ -206,15 +206,15 @@
 		}
 		l.Color, l.Width = colour(i), vg.Points(1.6)
 		p.Add(l)
-		p.Legend.Add(r.label(arm), l)
+		p.Legend.Add(r.armLabel(arm), l)
 	}
 	p.Legend.Top, p.Legend.Left = false, false
 	p.Legend.YOffs = vg.Points(6)
 	from := math.Floor(low*10-0.5) / 10
 	p.Y.Min, p.Y.Max, p.X.Min, p.X.Max = max(0, from), 1.005, 0, float64(seconds)
 	var marks []float64
-	if r.file != nil {
-		for _, f := range r.file.Arm(arms[0]).Faults {
+	if r.source != nil {
+		for _, f := range r.source.Arm(arms[0]).Faults {
 			for _, at := range []float64{f.At.Seconds(), (f.At + f.For).Seconds()} {
 				if at > 0 && at < float64(seconds) && !slices.Contains(marks, at) {
 					marks = append(marks, at)
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -89,14 +89,14 @@
 
 func (e *File) prepare(f *yamlfile.File) (*File, error) {
 	if f.Err() == nil {
-		e.arms(f)
-		e.check(f)
+		e.buildArms(f)
+		e.validate(f)
 	}
 	return e, f.Err()
 }
 
 // arms makes the arms out of the file's world and what each says for itself.
-func (e *File) arms(f *yamlfile.File) {
+func (e *File) buildArms(f *yamlfile.File) {
 	names := make([]string, 0, len(e.ArmsRaw))
 	for name := range e.ArmsRaw {
 		names = append(names, name)
@@ -135,7 +135,7 @@
 	}
 }
 
-func (e *File) check(f *yamlfile.File) {
+func (e *File) validate(f *yamlfile.File) {
 	if e.Name == "" || strings.ContainsAny(e.Name, "/\\ ") {
 		f.Wrong("name", "%q is no name; letters, digits and dashes", e.Name)
 	}
@@ -185,7 +185,7 @@
 		if x.AtLeast == nil && x.AtMost == nil {
 			f.Wrong(key, "says neither at_least nor at_most")
 		}
-		if !e.knows(x.Metric) {
+		if !e.hasMetric(x.Metric) {
 			f.Wrong(key+".metric", "%q is no metric; %s are", x.Metric, strings.Join(e.Metrics(), ", "))
 		}
 	}
@@ -197,7 +197,7 @@
 		if !slices.Contains([]string{"bars", "time", "line"}, c.Kind) {
 			f.Wrong(key+".kind", "%q is none of bars, time and line", c.Kind)
 		}
-		if c.Metric != "" && !e.knows(c.Metric) {
+		if c.Metric != "" && !e.hasMetric(c.Metric) {
 			f.Wrong(key+".metric", "%q is no metric; %s are", c.Metric, strings.Join(e.Metrics(), ", "))
 		}
 		for j, name := range c.Arms {
--- a/internal/experiment/metric.go
+++ b/internal/experiment/metric.go
@@ -9,7 +9,7 @@
 )
 
 // overall are the metrics of a run that do not belong to one op type, with what they mean.
-var overall = []struct{ name, doc string }{
+var runMetrics = []struct{ name, doc string }{
 	{"service", "value earned over value asked for"},
 	{"worst10", "service in the worst ten seconds in a row"},
 	{"worst_type", "service of the op type that fared worst"},
@@ -30,7 +30,7 @@
 }
 
 // byType are the metrics of one op type; a metric's name ends with the op type's after a dot.
-var byType = []struct{ name, doc string }{
+var opTypeMetrics = []struct{ name, doc string }{
 	{"service", "value earned over value asked for"},
 	{"p50", "milliseconds from the first try to the ack, median of the acks"},
 	{"p99", "the same, 99 of 100"},
@@ -40,32 +40,32 @@
 
 // Metrics lists what can be told of a run of this experiment.
 func (e *File) Metrics() (names []string) {
-	for _, m := range overall {
+	for _, m := range runMetrics {
 		names = append(names, m.name)
 	}
 	for _, t := range e.World.OpTypes {
-		for _, m := range byType {
+		for _, m := range opTypeMetrics {
 			names = append(names, m.name+"."+t.Name)
 		}
 	}
 	return names
 }
 
-func (e *File) knows(metric string) bool { return slices.Contains(e.Metrics(), metric) }
+func (e *File) hasMetric(metric string) bool { return slices.Contains(e.Metrics(), metric) }
 
 // MetricDocs gives the metrics with what they mean, for the help of the command.
 func MetricDocs() [][2]string {
 	var all [][2]string
-	for _, m := range overall {
+	for _, m := range runMetrics {
 		all = append(all, [2]string{m.name, m.doc})
 	}
-	for _, m := range byType {
+	for _, m := range opTypeMetrics {
 		all = append(all, [2]string{m.name + ".OPTYPE", m.doc})
 	}
 	return all
 }
 
-func over(a, b float64) float64 {
+func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
 	}
@@ -73,18 +73,18 @@
 }
 
 // measure turns a run's result into figures by metric.
-func measure(r *emulator.Result, seconds float64) map[string]float64 {
+func computeMetrics(r *emulator.Result, seconds float64) map[string]float64 {
 	m := map[string]float64{
 		"service": r.Service(), "worst10": r.Worst(10), "worst_type": 1, "rules_broken": float64(r.RulesBroken()),
-		"sends_per_op": over(float64(r.Sends), r.Asked), "probes_per_op": over(float64(r.Probes), r.Asked),
-		"busy_share": over(float64(r.Busy), float64(r.Taken)), "errored_share": over(float64(r.Errored), float64(r.Taken)),
-		"retries_per_op": over(float64(r.Retries), r.Asked), "work_per_op": over(float64(r.Worked.Microseconds())/1000, r.Asked),
+		"sends_per_op": ratio(float64(r.Sends), r.Asked), "probes_per_op": ratio(float64(r.Probes), r.Asked),
+		"busy_share": ratio(float64(r.Busy), float64(r.Taken)), "errored_share": ratio(float64(r.Errored), float64(r.Taken)),
+		"retries_per_op": ratio(float64(r.Retries), r.Asked), "work_per_op": ratio(float64(r.Worked.Microseconds())/1000, r.Asked),
 	}
 	troubles := 0.0
 	for _, n := range r.Troubles[1:] {
 		troubles += float64(n)
 	}
-	m["troubles_per_second"] = over(troubles, seconds)
+	m["troubles_per_second"] = ratio(troubles, seconds)
 	if g := r.Gossip; g != nil {
 		m["gossip_bytes"], m["gossip_worst"], m["gossip_false_deaths"] = g.Sent, g.WorstSent, float64(g.False)
 		m["gossip_deaths"], m["gossip_rumours"], m["gossip_contradicted"] = float64(g.Counts.Died), float64(g.Counts.RumoursMade), float64(g.Counts.Contradicted)
@@ -99,8 +99,8 @@
 		m["service."+t.Name] = s
 		m["p50."+t.Name] = float64(t.Latency.ValueAtQuantile(50)) / 1000
 		m["p99."+t.Name] = float64(t.Latency.ValueAtQuantile(99)) / 1000
-		m["late_share."+t.Name] = over(float64(t.Late), float64(t.Asked))
-		m["failed_share."+t.Name] = over(float64(t.Failed), float64(t.Asked))
+		m["late_share."+t.Name] = ratio(float64(t.Late), float64(t.Asked))
+		m["failed_share."+t.Name] = ratio(float64(t.Failed), float64(t.Asked))
 	}
 	for name, v := range m {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -35,19 +35,19 @@
 func (r *Result) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n", r.Name)
-	if r.file.About != "" {
-		fmt.Fprintf(&b, "%s\n\n", strings.TrimSpace(r.file.About))
+	if r.source.About != "" {
+		fmt.Fprintf(&b, "%s\n\n", strings.TrimSpace(r.source.About))
 	}
-	w := &r.file.World
+	w := &r.source.World
 	fmt.Fprintf(&b, "Emulated: %d gateways, %d groups of %d servers, %v, seeds %d to %d. Means over the seeds; the interval holds 95 of 100\n"+
 		"such means, by bootstrap.\n\n", w.Gateways.Count, w.Servers.Groups, w.Servers.Members, w.Length, r.Seeds[0], r.Seeds[len(r.Seeds)-1])
 	metrics := r.mainMetrics()
 	fmt.Fprintf(&b, "| arm | %s |\n| --- |%s\n", strings.Join(metrics, " | "), strings.Repeat(" --- |", len(metrics)))
 	for _, arm := range r.Order {
-		fmt.Fprintf(&b, "| %s |", r.file.Arm(arm).Label)
+		fmt.Fprintf(&b, "| %s |", r.source.Arm(arm).Label)
 		for _, m := range metrics {
 			if f, ok := r.Arms[arm][m]; ok {
-				fmt.Fprintf(&b, " %s |", f.text(decimals(m)))
+				fmt.Fprintf(&b, " %s |", f.format(decimals(m)))
 			} else {
 				b.WriteString(" - |")
 			}
@@ -74,7 +74,7 @@
 }
 
 // text is a figure with its interval.
-func (f Figure) text(decimals int) string {
+func (f Figure) format(decimals int) string {
 	if f.Low == f.High {
 		return fmt.Sprintf("%.*f", decimals, f.Mean)
 	}
@@ -82,24 +82,24 @@
 }
 
 // write keeps the result in a folder: the object, the table, the charts.
-func (r *Result) write(dir string) error {
-	if err := replace(filepath.Join(dir, "result.json"), r.JSON()); err != nil {
+func (r *Result) writeFiles(dir string) error {
+	if err := writeFileAtomically(filepath.Join(dir, "result.json"), r.JSON()); err != nil {
 		return err
 	}
-	if err := replace(filepath.Join(dir, "README.md"), []byte(r.Table()+r.pictures())); err != nil {
+	if err := writeFileAtomically(filepath.Join(dir, "README.md"), []byte(r.Table()+r.chartLinks())); err != nil {
 		return err
 	}
-	for i := range r.file.Charts {
-		if err := r.draw(&r.file.Charts[i], dir); err != nil {
-			return fmt.Errorf("chart %s: %w", r.file.Charts[i].Name, err)
+	for i := range r.source.Charts {
+		if err := r.drawChart(&r.source.Charts[i], dir); err != nil {
+			return fmt.Errorf("chart %s: %w", r.source.Charts[i].Name, err)
 		}
 	}
 	return nil
 }
 
-func (r *Result) pictures() string {
+func (r *Result) chartLinks() string {
 	var b strings.Builder
-	for _, c := range r.file.Charts {
+	for _, c := range r.source.Charts {
 		fmt.Fprintf(&b, "\n![%s](%s.svg)\n", c.Title, c.Name)
 	}
 	return b.String()
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -45,8 +45,8 @@
 	Order   []string                     `json:"order"` // of the arms
 	Stories []emulator.Story             `json:"stories,omitempty"`
 
-	file *File
-	runs [][]*Run // by arm, by seed
+	source *File
+	runs   [][]*Run // by arm, by seed
 }
 
 // Outcome is what came of an expectation.
@@ -87,7 +87,7 @@
 			return nil, err
 		}
 	}
-	res := &Result{Name: e.Name, Arms: map[string]map[string]Figure{}, file: e}
+	res := &Result{Name: e.Name, Arms: map[string]map[string]Figure{}, source: e}
 	for i := range seeds {
 		res.Seeds = append(res.Seeds, from+uint64(i))
 	}
@@ -109,7 +109,7 @@
 				if err := inner.Err(); err != nil {
 					return err
 				}
-				run, err := e.one(&e.Arms[a], seed, o.Out)
+				run, err := e.runOnce(&e.Arms[a], seed, o.Out)
 				if err != nil {
 					return err
 				}
@@ -127,9 +127,9 @@
 	if err := errors.Join(group.Wait(), ctx.Err()); err != nil {
 		return nil, err
 	}
-	res.sum()
+	res.summarize()
 	if o.Out != "" {
-		return res, res.write(o.Out)
+		return res, res.writeFiles(o.Out)
 	}
 	return res, nil
 }
@@ -150,7 +150,7 @@
 }
 
 // one plays one run, or takes it from the folder.
-func (e *File) one(a *Arm, seed uint64, out string) (*Run, error) {
+func (e *File) runOnce(a *Arm, seed uint64, out string) (*Run, error) {
 	key := a.key(seed)
 	path := filepath.Join(out, "runs", fmt.Sprintf("%s-%d.json", a.Name, seed))
 	if out != "" {
@@ -163,19 +163,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("arm %s, seed %d: %w", a.Name, seed, err)
 	}
-	run := &Run{Arm: a.Name, Seed: seed, Key: key, Metrics: measure(r, a.World.Length.Seconds()), Windows: r.Windows, Stories: r.Stories, Events: r.Events}
+	run := &Run{Arm: a.Name, Seed: seed, Key: key, Metrics: computeMetrics(r, a.World.Length.Seconds()), Windows: r.Windows, Stories: r.Stories, Events: r.Events}
 	if out == "" {
 		return run, nil
 	}
 	text, err := json.Marshal(run)
 	if err == nil {
-		err = replace(path, text)
+		err = writeFileAtomically(path, text)
 	}
 	return run, err
 }
 
 // replace writes a file whole or not at all.
-func replace(path string, text []byte) error {
+func writeFileAtomically(path string, text []byte) error {
 	if err := os.WriteFile(path+".next", text, 0o644); err != nil {
 		return err
 	}
@@ -183,12 +183,12 @@
 }
 
 // sum adds the runs up.
-func (r *Result) sum() {
+func (r *Result) summarize() {
 	for a, name := range r.Order {
 		r.Arms[name] = map[string]Figure{}
-		for _, metric := range r.file.Metrics() {
+		for _, metric := range r.source.Metrics() {
 			if values, ok := r.values(a, metric); ok {
-				r.Arms[name][metric] = figure(values)
+				r.Arms[name][metric] = estimate(values)
 			}
 		}
 		for _, run := range r.runs[a] {
@@ -200,8 +200,8 @@
 			}
 		}
 	}
-	for i := range r.file.Expect {
-		r.Expect = append(r.Expect, r.judge(&r.file.Expect[i]))
+	for i := range r.source.Expect {
+		r.Expect = append(r.Expect, r.evaluate(&r.source.Expect[i]))
 	}
 }
 
@@ -225,7 +225,7 @@
 }
 
 // judge compares an expectation with what came.
-func (r *Result) judge(x *Expectation) Outcome {
+func (r *Result) evaluate(x *Expectation) Outcome {
 	o := Outcome{Name: x.Name}
 	mine, _ := r.values(r.armIndex(x.Arm), x.Metric)
 	var f Figure
@@ -237,7 +237,7 @@
 			for _, i := range draw {
 				m, lo, hi = m+mine[i], lo+floor[i], hi+top[i]
 			}
-			return over(m-lo, hi-lo)
+			return ratio(m-lo, hi-lo)
 		}
 		all := make([]int, len(mine))
 		for i := range all {
@@ -256,13 +256,13 @@
 			theirs, _ := r.values(r.armIndex(other), x.Metric)
 			for i := range values {
 				if x.Over != "" {
-					values[i] = over(values[i], theirs[i])
+					values[i] = ratio(values[i], theirs[i])
 				} else {
 					values[i] -= theirs[i]
 				}
 			}
 		}
-		f = figure(values)
+		f = estimate(values)
 	}
 	o.Value, o.Low, o.High = f.Mean, f.Low, f.High
 	switch x.Of {
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -20,7 +20,7 @@
 
 // figure sums up the values of the seeds, in their order. The chance of the resampling is always the same, so that the
 // same values give the same interval.
-func figure(values []float64) Figure {
+func estimate(values []float64) Figure {
 	if len(values) == 0 {
 		return Figure{}
 	}
--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -19,32 +19,32 @@
 )
 
 // planned is one op as it was drawn before the day began: when it is due does not depend on how any other is answered.
-type planned struct {
-	at       time.Duration
-	id       uint64
-	t        *emulator.OpType
-	group    int
-	session  int
-	home     int
-	patience float64
-	honours  bool
+type plannedOp struct {
+	arrival           time.Duration
+	id                uint64
+	opType            *emulator.OpType
+	group             int
+	session           int
+	homeGateway       int
+	patience          float64
+	honoursRetryAfter bool
 }
 
 // clients asks as it was planned and keeps what comes of it.
 type clients struct {
-	w        *emulator.World
-	gateways []string // addresses; the front's view of who is there is the rig's
-	front    func(home int) (index int)
-	says     func(home int) bool // whether a try says that it is another one
-	plan     []planned
-	start    time.Time
-	running  sync.WaitGroup
+	world        *emulator.World
+	gateways     []string // addresses; the front's view of who is there is the rig's
+	pickGateway  func(home int) (index int)
+	marksRetries func(home int) bool // whether a try says that it is another one
+	plan         []plannedOp
+	start        time.Time
+	running      sync.WaitGroup
 
-	mu    sync.Mutex
-	conns map[int][]*conn // idle, by gateway
-	marks map[int]int64   // by session
-	res   *Result
-	fill  chan struct{} // bounds how many are open
+	mu         sync.Mutex
+	idleConns  map[int][]*conn // idle, by gateway
+	lastWrites map[int]int64   // by session
+	result     *Result
+	slots      chan struct{} // bounds how many are open
 }
 
 // Result is what came of a day on sockets.
@@ -94,10 +94,10 @@
 	return sum
 }
 
-const mostOpen = 20000
+const maxOpenOps = 20000
 
 // draws plans a day.
-func draws(w *emulator.World, seed uint64) []planned {
+func planOps(w *emulator.World, seed uint64) []plannedOp {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	shares, sum := []float64{}, 0.0
 	work := 0.0
@@ -124,190 +124,190 @@
 		at            time.Duration
 	}
 	writes := make([][]recent, w.Servers.Groups)
-	var plan []planned
+	var plan []plannedOp
 	for at := time.Duration(0); ; {
 		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 		if at >= w.Length {
 			return plan
 		}
 		t := &w.OpTypes[pick(shares)]
-		p := planned{at: at, id: uint64(len(plan) + 1), t: t, group: rng.IntN(w.Servers.Groups)}
+		p := plannedOp{arrival: at, id: uint64(len(plan) + 1), opType: t, group: rng.IntN(w.Servers.Groups)}
 		p.session = rng.IntN(max(1, w.Clients.Sessions)*w.Gateways.Count) + 1
-		p.home = p.session % w.Gateways.Count
+		p.homeGateway = p.session % w.Gateways.Count
 		if t.Need == "session" && rng.Float64() < w.Clients.Follows && len(writes[p.group]) > 0 {
 			wanted := time.Duration(rng.ExpFloat64() * float64(w.Clients.Gap))
 			best := slices.MinFunc(writes[p.group], func(a, b recent) int {
 				return cmp.Compare(math.Abs(float64(at-a.at-wanted)), math.Abs(float64(at-b.at-wanted)))
 			})
-			p.session, p.home = best.session, best.home
+			p.session, p.homeGateway = best.session, best.home
 		}
 		if t.Need == "write" {
-			writes[p.group] = append(writes[p.group], recent{p.session, p.home, at})
+			writes[p.group] = append(writes[p.group], recent{p.session, p.homeGateway, at})
 			if n := len(writes[p.group]); n > 32 {
 				writes[p.group] = writes[p.group][n-16:]
 			}
 		}
 		if rng.Float64() < w.Clients.Roam {
-			p.home = rng.IntN(w.Gateways.Count)
+			p.homeGateway = rng.IntN(w.Gateways.Count)
 		}
 		p.patience = w.Clients.Patience + (1-w.Clients.Patience)*math.Sqrt(rng.Float64())
-		p.honours = rng.Float64() < w.Clients.Honour
+		p.honoursRetryAfter = rng.Float64() < w.Clients.Honour
 		plan = append(plan, p)
 	}
 }
 
 func newClients(w *emulator.World, seed uint64, gateways []string, front func(int) int, says func(int) bool) *clients {
-	c := &clients{w: w, gateways: gateways, front: front, says: says, plan: draws(w, seed), conns: map[int][]*conn{}, marks: map[int]int64{},
-		fill: make(chan struct{}, mostOpen)}
-	c.res = &Result{Lateness: hdrhistogram.New(1, 60e6, 2), Windows: make([]emulator.Window, int(w.Length/time.Second)+1),
+	c := &clients{world: w, gateways: gateways, pickGateway: front, marksRetries: says, plan: planOps(w, seed), idleConns: map[int][]*conn{}, lastWrites: map[int]int64{},
+		slots: make(chan struct{}, maxOpenOps)}
+	c.result = &Result{Lateness: hdrhistogram.New(1, 60e6, 2), Windows: make([]emulator.Window, int(w.Length/time.Second)+1),
 		Homes: make([]HomeResult, len(gateways))}
 	for _, t := range w.OpTypes {
-		c.res.Types = append(c.res.Types, TypeResult{Name: t.Name, Latency: hdrhistogram.New(1, 120e6, 2)})
+		c.result.Types = append(c.result.Types, TypeResult{Name: t.Name, Latency: hdrhistogram.New(1, 120e6, 2)})
 	}
 	return c
 }
 
 // ask asks all that was planned, each at its time, and returns when all is answered or given up.
-func (c *clients) ask() {
+func (c *clients) run() {
 	c.start = time.Now()
 	for i := range c.plan {
 		p := &c.plan[i]
-		if wait := time.Until(c.start.Add(p.at)); wait > 0 {
+		if wait := time.Until(c.start.Add(p.arrival)); wait > 0 {
 			time.Sleep(wait)
 		}
 		select {
-		case c.fill <- struct{}{}:
+		case c.slots <- struct{}{}:
 		default:
 			c.mu.Lock()
-			c.res.Unsent++
+			c.result.Unsent++
 			c.mu.Unlock()
 			continue
 		}
 		c.running.Go(func() {
-			c.one(p)
-			<-c.fill
+			c.runOp(p)
+			<-c.slots
 		})
 	}
 	c.running.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, list := range c.conns {
+	for _, list := range c.idleConns {
 		for _, k := range list {
 			k.Close()
 		}
 	}
-	for i := range c.res.Types {
-		t := &c.res.Types[i]
-		c.res.Asked += float64(t.Asked)
-		c.res.Value += t.Value
-		c.res.Earned += t.Earned
+	for i := range c.result.Types {
+		t := &c.result.Types[i]
+		c.result.Asked += float64(t.Asked)
+		c.result.Value += t.Value
+		c.result.Earned += t.Earned
 	}
 }
 
 // one asks for one op until it is answered or its client gives up.
-func (c *clients) one(p *planned) {
-	t, _ := c.typeOf(p)
+func (c *clients) runOp(p *plannedOp) {
+	t, _ := c.typeResult(p)
 	c.mu.Lock()
-	c.res.Lateness.RecordValue(max(1, time.Since(c.start.Add(p.at)).Microseconds()))
+	c.result.Lateness.RecordValue(max(1, time.Since(c.start.Add(p.arrival)).Microseconds()))
 	t.Asked++
-	t.Value += p.t.Value
-	c.res.Homes[p.home].Value += p.t.Value
-	window := &c.res.Windows[min(int(p.at/time.Second), len(c.res.Windows)-1)]
+	t.Value += p.opType.Value
+	c.result.Homes[p.homeGateway].Value += p.opType.Value
+	window := &c.result.Windows[min(int(p.arrival/time.Second), len(c.result.Windows)-1)]
 	window.Asked++
-	window.Value += p.t.Value
+	window.Value += p.opType.Value
 	c.mu.Unlock()
 	for try := 0; ; try++ {
-		end := c.try(p, try)
+		end := c.attempt(p, try)
 		if end.acked {
 			c.mu.Lock()
-			took := time.Since(c.start.Add(p.at))
+			took := time.Since(c.start.Add(p.arrival))
 			t.Latency.RecordValue(took.Microseconds())
 			earned := 0.0
-			if took <= p.t.Target {
+			if took <= p.opType.Target {
 				t.Acked++
-				earned = p.t.Value
+				earned = p.opType.Value
 			} else {
 				t.Late++
-				earned = p.t.Value * p.t.LateValue
+				earned = p.opType.Value * p.opType.LateValue
 			}
 			t.Earned += earned
-			c.res.Homes[p.home].Earned += earned
+			c.result.Homes[p.homeGateway].Earned += earned
 			window.Earned += earned
 			c.mu.Unlock()
 			return
 		}
-		if !end.again || try >= c.w.Clients.Retries {
+		if !end.retrySafe || try >= c.world.Clients.Retries {
 			c.mu.Lock()
 			t.Failed++
 			c.mu.Unlock()
 			return
 		}
 		c.mu.Lock()
-		c.res.Retries++
+		c.result.Retries++
 		c.mu.Unlock()
-		wait := c.w.Clients.Backoff
-		if p.honours {
-			wait += min(end.comeBack, c.w.Gateways.ComeBack)
+		wait := c.world.Clients.Backoff
+		if p.honoursRetryAfter {
+			wait += min(end.retryAfter, c.world.Gateways.ComeBack)
 		}
 		time.Sleep(wait)
 	}
 }
 
-func (c *clients) typeOf(p *planned) (*TypeResult, int) {
-	for i := range c.w.OpTypes {
-		if &c.w.OpTypes[i] == p.t {
-			return &c.res.Types[i], i
+func (c *clients) typeResult(p *plannedOp) (*TypeResult, int) {
+	for i := range c.world.OpTypes {
+		if &c.world.OpTypes[i] == p.opType {
+			return &c.result.Types[i], i
 		}
 	}
 	panic("loopback: an op type that nobody knows")
 }
 
 // ended is how a try ended for its client.
-type ended struct {
-	acked    bool
-	again    bool // trying again is harmless
-	comeBack time.Duration
+type attemptOutcome struct {
+	acked      bool
+	retrySafe  bool // trying again is harmless
+	retryAfter time.Duration
 }
 
 // try asks once.
-func (c *clients) try(p *planned, try int) ended {
+func (c *clients) attempt(p *plannedOp, try int) attemptOutcome {
 	sent := time.Now()
-	due := sent.Add(time.Duration(p.patience * float64(p.t.Timeout)))
-	repeatable := p.t.Effect == "retryable" || p.t.Effect == "tokened" && p.t.Scope == "all"
-	k, err := c.conn(c.front(p.home))
+	due := sent.Add(time.Duration(p.patience * float64(p.opType.Timeout)))
+	repeatable := p.opType.Effect == "retryable" || p.opType.Effect == "tokened" && p.opType.Scope == "all"
+	k, err := c.getConn(c.pickGateway(p.homeGateway))
 	if err != nil {
-		return ended{again: true} // it was never taken
+		return attemptOutcome{retrySafe: true} // it was never taken
 	}
 	id := fmt.Sprintf("%x.%d", p.id, try)
-	fields := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, p.t.Name, time.Until(due).Milliseconds(), p.group)
-	if p.t.Effect == "tokened" {
+	fields := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, p.opType.Name, time.Until(due).Milliseconds(), p.group)
+	if p.opType.Effect == "tokened" {
 		fields += fmt.Sprintf(",k=%x", p.id)
 	}
-	if try > 0 && c.says(p.home) {
+	if try > 0 && c.marksRetries(p.homeGateway) {
 		fields += ",r=1"
 	}
-	if p.t.Need == "session" && c.w.Reports.Carried {
+	if p.opType.Need == "session" && c.world.Reports.Carried {
 		c.mu.Lock()
-		if at := c.marks[p.session]; at > 0 {
+		if at := c.lastWrites[p.session]; at > 0 {
 			fields += fmt.Sprintf(",after=%d", at)
 		}
 		c.mu.Unlock()
 	}
 	text := fmt.Sprintf("SELECT data FROM facts WHERE code = 's%d' /* %s */", p.session, fields)
-	if p.t.Need == "write" {
+	if p.opType.Need == "write" {
 		text = fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('s%d', 'x') RETURNING data /* %s */", p.session, fields)
 	}
 	k.SetDeadline(due)
 	a, err := k.query(text)
-	if err != nil && k.used && k.silent && time.Now().Before(due) {
+	if err != nil && k.reused && k.unanswered && time.Now().Before(due) {
 		// It may have crossed the gateway's close between two ops: then it was not read, and is asked for once more.
 		k.Close()
 		c.mu.Lock()
-		c.res.Crossed++
+		c.result.Crossed++
 		c.mu.Unlock()
-		again, dialled := c.dial(c.front(p.home))
+		again, dialled := c.dial(c.pickGateway(p.homeGateway))
 		if dialled != nil {
-			return ended{again: true}
+			return attemptOutcome{retrySafe: true}
 		}
 		k = again
 		k.SetDeadline(due)
@@ -320,50 +320,50 @@
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
 			// Its time is up. A gateway that lives owes an answer by then; a little more is the way's.
-			c.res.TimedOut++
-			return ended{again: repeatable}
+			c.result.TimedOut++
+			return attemptOutcome{retrySafe: repeatable}
 		}
-		c.res.Lost++
-		return ended{again: repeatable}
+		c.result.Lost++
+		return attemptOutcome{retrySafe: repeatable}
 	}
-	c.conns[k.gateway] = append(c.conns[k.gateway], k)
+	c.idleConns[k.gateway] = append(c.idleConns[k.gateway], k)
 	switch {
 	case a.code == "":
 		if !strings.HasPrefix(a.value, id+" by ") {
-			c.res.Garbled++
-			c.res.Broken[0]++
-			c.res.Stories = append(c.res.Stories, fmt.Sprintf("rule 1: op %s was answered %q", id, a.value))
-			return ended{}
+			c.result.Garbled++
+			c.result.Broken[0]++
+			c.result.Stories = append(c.result.Stories, fmt.Sprintf("rule 1: op %s was answered %q", id, a.value))
+			return attemptOutcome{}
 		}
-		if p.t.Need == "write" { // its commit lies before this moment
-			c.marks[p.session] = max(c.marks[p.session], time.Now().UnixMilli())
+		if p.opType.Need == "write" { // its commit lies before this moment
+			c.lastWrites[p.session] = max(c.lastWrites[p.session], time.Now().UnixMilli())
 		}
-		return ended{acked: true}
+		return attemptOutcome{acked: true}
 	case a.code == "53300" || a.code == "57P03":
-		c.res.Busy++
-		return ended{again: true, comeBack: a.comeBack}
+		c.result.Busy++
+		return attemptOutcome{retrySafe: true, retryAfter: a.retryAfter}
 	}
-	c.res.Errored++
-	return ended{again: repeatable}
+	c.result.Errored++
+	return attemptOutcome{retrySafe: repeatable}
 }
 
 // conn is a client's connection to a gateway.
 type conn struct {
 	net.Conn
-	window  pgwire.ReadBuffer
-	gateway int
-	used    bool // it has been asked on before
-	silent  bool // nothing has come since the last question
+	buffer     pgwire.ReadBuffer
+	gateway    int
+	reused     bool // it has been asked on before
+	unanswered bool // nothing has come since the last question
 }
 
 // conn takes an idle connection or opens one.
-func (c *clients) conn(gateway int) (*conn, error) {
+func (c *clients) getConn(gateway int) (*conn, error) {
 	c.mu.Lock()
-	if list := c.conns[gateway]; len(list) > 0 {
+	if list := c.idleConns[gateway]; len(list) > 0 {
 		k := list[len(list)-1]
-		c.conns[gateway] = list[:len(list)-1]
+		c.idleConns[gateway] = list[:len(list)-1]
 		c.mu.Unlock()
-		if k.used = true; !k.closed() {
+		if k.reused = true; !k.isClosed() {
 			return k, nil
 		}
 		k.Close()
@@ -385,7 +385,7 @@
 		k.Close()
 		return nil, err
 	}
-	if a, err := k.answer(); err != nil || a.code != "" {
+	if a, err := k.readResponse(); err != nil || a.code != "" {
 		k.Close()
 		return nil, fmt.Errorf("not let in: %s %w", a.code, err)
 	}
@@ -393,41 +393,41 @@
 }
 
 // closed tells whether a gateway has closed a connection that nobody used.
-func (k *conn) closed() bool {
+func (k *conn) isClosed() bool {
 	k.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-	n, err := k.Read(k.window.Space())
-	k.window.Filled(n)
+	n, err := k.Read(k.buffer.Space())
+	k.buffer.Filled(n)
 	var timeout net.Error
 	return n > 0 || !(errors.As(err, &timeout) && timeout.Timeout())
 }
 
 // said is an answer as a client sees it.
-type said struct {
+type response struct {
 	code, value string
-	comeBack    time.Duration
+	retryAfter  time.Duration
 }
 
-func (k *conn) query(text string) (said, error) {
-	k.silent = true
+func (k *conn) query(text string) (response, error) {
+	k.unanswered = true
 	if _, err := k.Write(pgwire.AppendQuery(nil, text)); err != nil {
-		return said{}, err
+		return response{}, err
 	}
-	return k.answer()
+	return k.readResponse()
 }
 
-func (k *conn) answer() (a said, err error) {
+func (k *conn) readResponse() (a response, err error) {
 	for {
-		m, ok, err := k.window.Next()
+		m, ok, err := k.buffer.Next()
 		if err != nil {
 			return a, err
 		}
 		if !ok {
-			n, err := k.Read(k.window.Space())
-			k.window.Filled(n)
+			n, err := k.Read(k.buffer.Space())
+			k.buffer.Filled(n)
 			if n == 0 && err != nil {
 				return a, err
 			}
-			k.silent = false
+			k.unanswered = false
 			continue
 		}
 		switch m.Type {
@@ -445,13 +445,13 @@
 				return a, err
 			}
 			a.code = string(code)
-			a.comeBack = detail(m.Body)
+			a.retryAfter = parseRetryAfter(m.Body)
 		}
 	}
 }
 
 // detail is the time to come back, in milliseconds in field D.
-func detail(body []byte) time.Duration {
+func parseRetryAfter(body []byte) time.Duration {
 	for len(body) > 1 {
 		value, rest, err := pgwire.CutString(body[1:])
 		if err != nil {
--- a/internal/loopback/endings_test.go
+++ b/internal/loopback/endings_test.go
@@ -13,7 +13,7 @@
 )
 
 // program builds the gateway.
-func program(t *testing.T) string {
+func buildGateway(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "gorsewell")
 	if out, err := exec.Command("go", "build", "-o", path, "gorsewell/cmd/gorsewell").CombinedOutput(); err != nil {
@@ -23,8 +23,8 @@
 }
 
 // Several processes before the same servers, and a fault between them. The rules are checked by the servers and clients.
-func TestEndingsOfManyProcesses(t *testing.T) {
-	gateway := program(t)
+func TestRulesHoldDuringDrainsAndRestarts(t *testing.T) {
+	gateway := buildGateway(t)
 	for name, c := range map[string]struct {
 		change func(w *emulator.World)
 		faults []emulator.Fault
--- a/internal/loopback/fleet.go
+++ b/internal/loopback/fleet.go
@@ -18,38 +18,38 @@
 
 // fleet is the servers of a world.
 type fleet struct {
-	w     *emulator.World
-	seed  uint64
-	check *checker
-	lists *discovery
+	world     *emulator.World
+	seed      uint64
+	checker   *checker
+	discovery *discovery
 
 	mu      sync.Mutex // guards all below and in the servers; held for moments only
 	servers []*server
 	groups  []*group
 	closed  bool
-	conns   sync.WaitGroup
+	running sync.WaitGroup
 }
 
 type group struct {
-	f       *fleet
-	members []*server
-	primary *server
-	lostAt  int64 // Unix milliseconds
-	term    int
-	tokens  map[string]*token
+	fleet         *fleet
+	members       []*server
+	primary       *server
+	primaryLostAt int64 // Unix milliseconds
+	term          int
+	tokens        map[string]*token
 }
 
 // token is what a group remembers of a tokened op.
 type token struct {
-	seen, at time.Time
-	done     bool
-	commit   int64
-	open     int
+	lastSeen, at time.Time
+	committed    bool
+	position     int64
+	pending      int
 }
 
 // server is one stand-in database server.
 type server struct {
-	f     *fleet
+	fleet *fleet
 	num   int
 	group *group
 	zone  int
@@ -57,60 +57,60 @@
 	speed float64
 	cores int
 
-	l        net.Listener // nil while it is down
-	life     int
-	live     map[net.Conn]struct{}
-	started  time.Time // zero: long ago
-	draining bool
-	hung     bool
-	refuses  bool
-	slow     float64
-	fails    float64
-	slowLog  float64
-
-	busy    int
-	queue   []*job
-	stuck   []func()
-	backlog []int64
-	applied int64
-	apply   bool
+	listener      net.Listener // nil while it is down
+	generation    int
+	conns         map[net.Conn]struct{}
+	started       time.Time // zero: long ago
+	draining      bool
+	hung          bool
+	refusing      bool
+	slowdown      float64
+	errorShare    float64
+	applySlowdown float64
+
+	busy      int
+	queue     []*job
+	suspended []func()
+	backlog   []int64
+	applied   int64
+	applying  bool
 }
 
 // job is one query at a server.
 type job struct {
-	s      *server
-	life   int
-	id     string
-	op     uint64 // the client's request
-	try    int
-	t      *emulator.OpType
-	write  bool
-	after  int64 // position to see, Unix milliseconds; 0: any
-	token  *token
-	key    string
-	sentAt time.Time
-	done   chan answer
+	server      *server
+	generation  int
+	id          string
+	op          uint64 // the client's request
+	attempt     int
+	opType      *emulator.OpType
+	write       bool
+	minPosition int64 // position to see, Unix milliseconds; 0: any
+	token       *token
+	tokenKey    string
+	sentAt      time.Time
+	done        chan answer
 }
 
 // answer is what a server says; code is empty for a value.
 type answer struct {
-	code    string
-	value   string
-	role    string
-	applied int64
-	reset   bool
+	code     string
+	value    string
+	role     string
+	position int64
+	reset    bool
 }
 
 func newFleet(w *emulator.World, seed uint64, check *checker) (*fleet, error) {
-	f := &fleet{w: w, seed: seed, check: check}
-	f.lists = newDiscovery(f)
+	f := &fleet{world: w, seed: seed, checker: check}
+	f.discovery = newDiscovery(f)
 	for i := range w.Servers.Groups {
-		g := &group{f: f, tokens: map[string]*token{}}
+		g := &group{fleet: f, tokens: map[string]*token{}}
 		f.groups = append(f.groups, g)
 		for j := range w.Servers.Members {
 			k := w.Servers.Kinds[i%len(w.Servers.Kinds)]
-			s := &server{f: f, num: len(f.servers) + 1, group: g, zone: (i + j) % w.Zones, cores: k.Cores, speed: k.Speed, slow: 1, slowLog: 1,
-				live: map[net.Conn]struct{}{}, applied: time.Now().UnixMilli()}
+			s := &server{fleet: f, num: len(f.servers) + 1, group: g, zone: (i + j) % w.Zones, cores: k.Cores, speed: k.Speed, slowdown: 1, applySlowdown: 1,
+				conns: map[net.Conn]struct{}{}, applied: time.Now().UnixMilli()}
 			f.servers = append(f.servers, s)
 			g.members = append(g.members, s)
 			if err := s.listen(); err != nil {
@@ -119,7 +119,7 @@
 		}
 		g.primary = g.members[0]
 	}
-	f.lists.begin()
+	f.discovery.init()
 	return f, nil
 }
 
@@ -127,10 +127,10 @@
 	f.mu.Lock()
 	f.closed = true
 	for _, s := range f.servers {
-		s.down()
+		s.shutDown()
 	}
 	f.mu.Unlock()
-	f.conns.Wait()
+	f.running.Wait()
 	return nil
 }
 
@@ -144,30 +144,30 @@
 	if err != nil {
 		return err
 	}
-	s.addr, s.l = l.Addr().String(), l
-	life := s.life
-	s.f.conns.Go(func() {
+	s.addr, s.listener = l.Addr().String(), l
+	life := s.generation
+	s.fleet.running.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s.f.mu.Lock()
-			fits := s.life == life && !s.f.closed && (s.f.w.Servers.Conns == 0 || len(s.live) < s.f.w.Servers.Conns)
+			s.fleet.mu.Lock()
+			fits := s.generation == life && !s.fleet.closed && (s.fleet.world.Servers.Conns == 0 || len(s.conns) < s.fleet.world.Servers.Conns)
 			if fits {
-				s.live[c] = struct{}{}
+				s.conns[c] = struct{}{}
 			}
-			s.f.mu.Unlock()
+			s.fleet.mu.Unlock()
 			if !fits {
 				c.Close()
 				continue
 			}
-			s.f.conns.Go(func() {
+			s.fleet.running.Go(func() {
 				s.serve(c, life)
 				c.Close()
-				s.f.mu.Lock()
-				delete(s.live, c)
-				s.f.mu.Unlock()
+				s.fleet.mu.Lock()
+				delete(s.conns, c)
+				s.fleet.mu.Unlock()
 			})
 		}
 	})
@@ -175,16 +175,16 @@
 }
 
 // down ends the process: connections are reset, new ones refused. The lock is held.
-func (s *server) down() {
-	if s.l == nil {
+func (s *server) shutDown() {
+	if s.listener == nil {
 		return
 	}
 	s.applied = s.position()
-	s.l.Close()
-	s.l = nil
-	s.life++
-	s.busy, s.queue, s.stuck, s.backlog, s.apply, s.hung = 0, nil, nil, nil, false, false
-	for c := range s.live {
+	s.listener.Close()
+	s.listener = nil
+	s.generation++
+	s.busy, s.queue, s.suspended, s.backlog, s.applying, s.hung = 0, nil, nil, nil, false, false
+	for c := range s.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
@@ -210,9 +210,9 @@
 	if s.waitWhileHung(life) {
 		return
 	}
-	s.f.mu.Lock()
-	handshake := time.Duration(float64(s.f.w.Servers.Handshake) / s.pace())
-	s.f.mu.Unlock()
+	s.fleet.mu.Lock()
+	handshake := time.Duration(float64(s.fleet.world.Servers.Handshake) / s.currentSpeed())
+	s.fleet.mu.Unlock()
 	time.Sleep(handshake) // what a new connection costs
 	if _, err := c.Write(pgwire.AppendStartupReply(nil)); err != nil {
 		return
@@ -232,7 +232,7 @@
 		if a.reset {
 			return
 		}
-		if _, err := c.Write(a.bytes()); err != nil {
+		if _, err := c.Write(a.encode()); err != nil {
 			return
 		}
 	}
@@ -241,9 +241,9 @@
 // waitWhileHung waits until the server goes on; true if it ended instead.
 func (s *server) waitWhileHung(life int) bool {
 	for {
-		s.f.mu.Lock()
-		hung, ended := s.hung, s.life != life
-		s.f.mu.Unlock()
+		s.fleet.mu.Lock()
+		hung, ended := s.hung, s.generation != life
+		s.fleet.mu.Unlock()
 		if ended || !hung {
 			return ended
 		}
@@ -252,7 +252,7 @@
 }
 
 // bytes is the answer on the wire.
-func (a answer) bytes() []byte {
+func (a answer) encode() []byte {
 	var b []byte
 	if a.code != "" {
 		b = pgwire.AppendError(nil, "ERROR", a.code, "as the stand-in has it", "")
@@ -265,13 +265,13 @@
 	}
 	if a.role != "" {
 		b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "role\x00", a.role, "\x00")
-		b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "applied_ms\x00", strconv.FormatInt(a.applied, 10), "\x00")
+		b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "applied_ms\x00", strconv.FormatInt(a.position, 10), "\x00")
 	}
 	return pgwire.AppendReady(b)
 }
 
 // fields reads the comment of a statement.
-func fields(text string) map[string]string {
+func parseComment(text string) map[string]string {
 	_, rest, ok := strings.Cut(text, "/*")
 	body, _, ok2 := strings.Cut(rest, "*/")
 	if !ok || !ok2 {
@@ -292,121 +292,121 @@
 	case "":
 		return answer{code: "00000"}
 	case "SHOW load":
-		if s.waitWhileHungProbe(life) {
+		if s.waitProbeWhileHung(life) {
 			return answer{reset: true}
 		}
-		s.f.mu.Lock()
-		defer s.f.mu.Unlock()
+		s.fleet.mu.Lock()
+		defer s.fleet.mu.Unlock()
 		role := 0
 		if s.group.primary == s {
 			role = 1
 		}
 		return answer{value: fmt.Sprintf("x0=%.3f,x1=%d", float64(s.position())/1000, role)}
 	}
-	v := fields(text)
+	v := parseComment(text)
 	id := v["id"]
 	var op uint64
 	var try int
 	if _, err := fmt.Sscanf(id, "%x.%d", &op, &try); err != nil {
 		return answer{code: "08P01"}
 	}
-	j := &job{s: s, life: life, id: id, op: op, try: try, key: v["k"], sentAt: time.Now(), done: make(chan answer, 1)}
-	for i := range s.f.w.OpTypes {
-		if t := &s.f.w.OpTypes[i]; t.Name == v["c"] {
-			j.t = t
+	j := &job{server: s, generation: life, id: id, op: op, attempt: try, tokenKey: v["k"], sentAt: time.Now(), done: make(chan answer, 1)}
+	for i := range s.fleet.world.OpTypes {
+		if t := &s.fleet.world.OpTypes[i]; t.Name == v["c"] {
+			j.opType = t
 		}
 	}
-	if j.t == nil {
+	if j.opType == nil {
 		return answer{code: "08P01"}
 	}
-	j.write = j.t.Need == "write"
-	switch j.t.Need {
+	j.write = j.opType.Need == "write"
+	switch j.opType.Need {
 	case "session":
-		j.after, _ = strconv.ParseInt(v["after"], 10, 64)
+		j.minPosition, _ = strconv.ParseInt(v["after"], 10, 64)
 	case "bounded":
-		j.after = j.sentAt.Add(-j.t.Bound).UnixMilli()
+		j.minPosition = j.sentAt.Add(-j.opType.Bound).UnixMilli()
 	}
-	s.f.check.arrived(s, j)
-	s.f.mu.Lock()
-	s.arrive(j)
-	s.f.mu.Unlock()
+	s.fleet.checker.opArrived(s, j)
+	s.fleet.mu.Lock()
+	s.admit(j)
+	s.fleet.mu.Unlock()
 	a := <-j.done
-	s.f.check.answered(s, j, a)
+	s.fleet.checker.answerReady(s, j, a)
 	return a
 }
 
 // waitWhileHungProbe is for probes: a server that hangs may still answer them.
-func (s *server) waitWhileHungProbe(life int) bool {
-	if s.f.w.Reports.OnHung {
+func (s *server) waitProbeWhileHung(life int) bool {
+	if s.fleet.world.Reports.OnHung {
 		return false
 	}
 	return s.waitWhileHung(life)
 }
 
 // ramp and pace are as in the emulator. The lock is held.
-func (s *server) ramp() float64 {
+func (s *server) warmUpFactor() float64 {
 	if s.started.IsZero() {
 		return 1
 	}
-	c := &s.f.w.Servers
+	c := &s.fleet.world.Servers
 	return min(1, c.ColdFrom+(1-c.ColdFrom)*float64(time.Since(s.started))/float64(max(1, c.ColdTime)))
 }
 
-func (s *server) pace() float64 { return s.speed * s.ramp() / s.slow }
+func (s *server) currentSpeed() float64 { return s.speed * s.warmUpFactor() / s.slowdown }
 
 // position is how far the server's data reach. The lock is held.
 func (s *server) position() int64 {
 	now := time.Now().UnixMilli()
-	ship := s.f.w.Log.Ship.Milliseconds()
+	ship := s.fleet.world.Log.Ship.Milliseconds()
 	p := s.group.primary
 	switch {
 	case p == s:
 		return now
 	case len(s.backlog) > 0:
 		return max(s.applied, s.backlog[0]-1)
-	case p != nil && p.l != nil && !p.hung:
+	case p != nil && p.listener != nil && !p.hung:
 		return max(s.applied, now-ship)
 	}
-	return max(s.applied, s.group.lostAt-ship)
+	return max(s.applied, s.group.primaryLostAt-ship)
 }
 
 // arrive takes a job whose last byte has come. The lock is held.
-func (s *server) arrive(j *job) {
+func (s *server) admit(j *job) {
 	switch {
-	case s.life != j.life:
+	case s.generation != j.generation:
 		j.done <- answer{reset: true}
 	case s.hung:
-		s.stuck = append(s.stuck, func() { s.arrive(j) })
-	case s.draining || s.refuses:
+		s.suspended = append(s.suspended, func() { s.admit(j) })
+	case s.draining || s.refusing:
 		s.reply(j, "53300")
 	case j.write && s.group.primary != s:
 		s.reply(j, "25006")
-	case !j.write && s.f.w.Reports.Checks == "refuses" && s.group.primary != s && j.after > s.position():
+	case !j.write && s.fleet.world.Reports.Checks == "refuses" && s.group.primary != s && j.minPosition > s.position():
 		s.reply(j, "72000")
-	case s.busy >= s.cores && len(s.queue) >= s.f.w.Servers.Queue*s.cores:
+	case s.busy >= s.cores && len(s.queue) >= s.fleet.world.Servers.Queue*s.cores:
 		s.reply(j, "53300")
 	default:
-		s.group.comes(j)
-		s.begin(j)
+		s.group.trackToken(j)
+		s.startWork(j)
 	}
 }
 
 // comes notes that a tokened op has come in. The lock is held.
-func (g *group) comes(j *job) {
-	if !j.write || j.t.Effect != "tokened" || j.key == "" {
+func (g *group) trackToken(j *job) {
+	if !j.write || j.opType.Effect != "tokened" || j.tokenKey == "" {
 		return
 	}
-	k := g.tokens[j.key]
-	if k == nil || k.open == 0 && time.Since(k.seen) > j.t.Window {
+	k := g.tokens[j.tokenKey]
+	if k == nil || k.pending == 0 && time.Since(k.lastSeen) > j.opType.Window {
 		k = &token{}
-		g.tokens[j.key] = k
+		g.tokens[j.tokenKey] = k
 	}
-	k.seen = time.Now()
-	k.open++
+	k.lastSeen = time.Now()
+	k.pending++
 	j.token = k
 	if len(g.tokens) > 4096 {
 		for key, old := range g.tokens {
-			if old.open == 0 && time.Since(old.seen) > 2*j.t.Window {
+			if old.pending == 0 && time.Since(old.lastSeen) > 2*j.opType.Window {
 				delete(g.tokens, key)
 			}
 		}
@@ -414,53 +414,53 @@
 }
 
 // begin lets a job work, or wait for a core. The lock is held.
-func (s *server) begin(j *job) {
+func (s *server) startWork(j *job) {
 	if s.busy >= s.cores {
 		s.queue = append(s.queue, j)
 		return
 	}
 	s.busy++
-	s.f.check.began(s, j, s.position())
-	work := j.t.Draw(s.f.seed, j.op, j.try, s.num)
-	time.AfterFunc(time.Duration(float64(work)/s.pace()), func() {
-		s.f.mu.Lock()
-		defer s.f.mu.Unlock()
-		s.finish(j)
+	s.fleet.checker.workStarted(s, j, s.position())
+	work := j.opType.Draw(s.fleet.seed, j.op, j.attempt, s.num)
+	time.AfterFunc(time.Duration(float64(work)/s.currentSpeed()), func() {
+		s.fleet.mu.Lock()
+		defer s.fleet.mu.Unlock()
+		s.finishWork(j)
 	})
 }
 
 // finish ends a job's work. The lock is held.
-func (s *server) finish(j *job) {
+func (s *server) finishWork(j *job) {
 	switch {
-	case s.life != j.life:
+	case s.generation != j.generation:
 		j.done <- answer{reset: true}
 		return
 	case s.hung:
-		s.stuck = append(s.stuck, func() { s.finish(j) })
+		s.suspended = append(s.suspended, func() { s.finishWork(j) })
 		return
 	}
 	s.busy--
 	for len(s.queue) > 0 && s.busy < s.cores {
 		next := s.queue[0]
 		s.queue = s.queue[1:]
-		s.begin(next)
+		s.startWork(next)
 	}
-	failed := s.fails > 0 && emulator.Chance(s.f.seed, 0xfa17, j.op, uint64(j.try), uint64(s.num)) < s.fails
+	failed := s.errorShare > 0 && emulator.Chance(s.fleet.seed, 0xfa17, j.op, uint64(j.attempt), uint64(s.num)) < s.errorShare
 	if j.token != nil {
-		j.token.open--
+		j.token.pending--
 	}
 	if j.write {
 		if s.group.primary != s {
 			s.reply(j, "XX000")
 			return
 		}
-		if j.token == nil || !j.token.done {
+		if j.token == nil || !j.token.committed {
 			commit := time.Now().UnixMilli()
 			if j.token != nil {
-				j.token.done, j.token.commit = true, commit
+				j.token.committed, j.token.position = true, commit
 			}
-			s.f.check.effect(s, j)
-			s.group.commit(commit)
+			s.fleet.checker.writeApplied(s, j)
+			s.group.replicate(commit)
 		}
 	}
 	if failed {
@@ -472,148 +472,148 @@
 
 // reply answers. The lock is held.
 func (s *server) reply(j *job, code string) {
-	a := answer{code: code, role: "replica", applied: s.position()}
+	a := answer{code: code, role: "replica", position: s.position()}
 	if s.group.primary == s {
 		a.role = "primary"
 	}
 	if code == "" {
 		a.value = fmt.Sprintf("%s by %d", j.id, s.num)
 		if j.write && j.token != nil {
-			a.applied = j.token.commit
+			a.position = j.token.position
 		}
 	}
 	j.done <- a
 }
 
 // commit ships a write to the replicas. The lock is held.
-func (g *group) commit(at int64) {
+func (g *group) replicate(at int64) {
 	for _, s := range g.members {
-		if s == g.primary || s.l == nil {
+		if s == g.primary || s.listener == nil {
 			continue
 		}
-		life := s.life
-		time.AfterFunc(g.f.w.Log.Ship, func() {
-			g.f.mu.Lock()
-			defer g.f.mu.Unlock()
-			if s.life == life && s.group.primary != s {
+		life := s.generation
+		time.AfterFunc(g.fleet.world.Log.Ship, func() {
+			g.fleet.mu.Lock()
+			defer g.fleet.mu.Unlock()
+			if s.generation == life && s.group.primary != s {
 				s.backlog = append(s.backlog, at)
-				s.applies()
+				s.applyNext()
 			}
 		})
 	}
 }
 
 // applies works on the next commit. The lock is held.
-func (s *server) applies() {
-	if s.apply || len(s.backlog) == 0 || s.hung || s.l == nil || s.group.primary == s {
+func (s *server) applyNext() {
+	if s.applying || len(s.backlog) == 0 || s.hung || s.listener == nil || s.group.primary == s {
 		return
 	}
-	s.apply = true
-	life, commit := s.life, s.backlog[0]
-	u := emulator.Chance(s.f.seed, 0x10f, uint64(s.num), uint64(commit))
-	work := time.Duration(float64(s.f.w.Log.Apply) * emulator.Exponential(u) * s.slowLog / s.pace())
+	s.applying = true
+	life, commit := s.generation, s.backlog[0]
+	u := emulator.Chance(s.fleet.seed, 0x10f, uint64(s.num), uint64(commit))
+	work := time.Duration(float64(s.fleet.world.Log.Apply) * emulator.Exponential(u) * s.applySlowdown / s.currentSpeed())
 	time.AfterFunc(work, func() {
-		s.f.mu.Lock()
-		defer s.f.mu.Unlock()
-		if s.life != life || !s.apply {
+		s.fleet.mu.Lock()
+		defer s.fleet.mu.Unlock()
+		if s.generation != life || !s.applying {
 			return
 		}
-		s.apply = false
+		s.applying = false
 		s.backlog = s.backlog[1:]
 		s.applied = max(s.applied, commit)
-		s.applies()
+		s.applyNext()
 	})
 }
 
 // lost is called when a member is dead or hung. The lock is held.
-func (g *group) lost(s *server) {
+func (g *group) memberLost(s *server) {
 	if g.primary != s {
 		return
 	}
-	g.lostAt = time.Now().UnixMilli()
+	g.primaryLostAt = time.Now().UnixMilli()
 	term := g.term
-	time.AfterFunc(g.f.w.Failover.Detect, func() {
-		g.f.mu.Lock()
-		defer g.f.mu.Unlock()
-		if g.term != term || s.l != nil && !s.hung && g.primary == s {
+	time.AfterFunc(g.fleet.world.Failover.Detect, func() {
+		g.fleet.mu.Lock()
+		defer g.fleet.mu.Unlock()
+		if g.term != term || s.listener != nil && !s.hung && g.primary == s {
 			return
 		}
-		s.applied = max(s.applied, g.lostAt)
+		s.applied = max(s.applied, g.primaryLostAt)
 		g.primary = nil
-		g.elect(g.f.w.Failover.Elect)
+		g.elect(g.fleet.world.Failover.Elect)
 	})
 }
 
 // elect makes the member that is furthest a primary, after a time. The lock is held.
 func (g *group) elect(after time.Duration) {
 	time.AfterFunc(after, func() {
-		g.f.mu.Lock()
-		defer g.f.mu.Unlock()
-		if g.primary != nil || g.f.closed {
+		g.fleet.mu.Lock()
+		defer g.fleet.mu.Unlock()
+		if g.primary != nil || g.fleet.closed {
 			return
 		}
 		var best *server
 		for _, s := range g.members {
-			if s.l != nil && !s.hung && !s.draining && (best == nil || s.position() > best.position()) {
+			if s.listener != nil && !s.hung && !s.draining && (best == nil || s.position() > best.position()) {
 				best = s
 			}
 		}
 		if best == nil {
-			g.elect(g.f.w.Failover.Elect)
+			g.elect(g.fleet.world.Failover.Elect)
 			return
 		}
 		g.term++
-		best.backlog, best.apply, best.applied = nil, false, time.Now().UnixMilli()
+		best.backlog, best.applying, best.applied = nil, false, time.Now().UnixMilli()
 		g.primary = best
-		g.f.check.event("server %d is primary", best.num)
+		g.fleet.checker.event("server %d is primary", best.num)
 	})
 }
 
 // crash ends a server's process.
 func (s *server) crash() {
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	s.down()
-	s.group.lost(s)
-	s.f.lists.changed(s, s.f.w.List.Down)
+	s.fleet.mu.Lock()
+	defer s.fleet.mu.Unlock()
+	s.shutDown()
+	s.group.memberLost(s)
+	s.fleet.discovery.publishAfter(s, s.fleet.world.List.Down)
 }
 
 // start brings it back, cold.
 func (s *server) start() error {
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	if s.l != nil || s.f.closed {
+	s.fleet.mu.Lock()
+	defer s.fleet.mu.Unlock()
+	if s.listener != nil || s.fleet.closed {
 		return nil
 	}
 	s.started = time.Now()
 	if s.group.primary == s {
 		s.group.term++
 		s.group.primary = nil
-		s.group.elect(s.f.w.Failover.Elect)
+		s.group.elect(s.fleet.world.Failover.Elect)
 	}
 	s.applied = max(s.applied, time.Now().Add(-2*time.Second).UnixMilli()) // it catches up from what the others kept
 	if err := s.listen(); err != nil {
 		return err
 	}
-	s.f.lists.changed(s, s.f.w.List.Added)
+	s.fleet.discovery.publishAfter(s, s.fleet.world.List.Added)
 	return nil
 }
 
 // set changes what ails a server.
-func (s *server) set(change func(s *server)) {
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
+func (s *server) update(change func(s *server)) {
+	s.fleet.mu.Lock()
+	defer s.fleet.mu.Unlock()
 	wasHung := s.hung
 	change(s)
 	switch {
 	case s.hung && !wasHung:
-		s.group.lost(s)
+		s.group.memberLost(s)
 	case wasHung && !s.hung:
-		stuck := s.stuck
-		s.stuck = nil
+		stuck := s.suspended
+		s.suspended = nil
 		for _, do := range stuck {
 			do()
 		}
-		s.applies()
+		s.applyNext()
 	}
 }
--- a/internal/loopback/mixed_test.go
+++ b/internal/loopback/mixed_test.go
@@ -11,7 +11,7 @@
 )
 
 // The move's two shapes of deployment, before the same servers: even instances run in the old one.
-func shapeOf(index int, told map[string]any) (marks bool) {
+func changeSettings(index int, told map[string]any) (marks bool) {
 	if index%2 == 0 {
 		told["clients"] = map[string]any{"marks_retry": true}
 		return true
@@ -26,7 +26,7 @@
 }
 
 // playMixed plays a day on which a primary dies and comes back cold, and a replica errs.
-func playMixed(t *testing.T, program string, shape func(int, map[string]any) bool) *Result {
+func runMixed(t *testing.T, program string, shape func(int, map[string]any) bool) *Result {
 	t.Helper()
 	w := emulator.Default()
 	w.Length = 6 * time.Second
@@ -50,7 +50,7 @@
 }
 
 // service is what instances of either shape earned of what their clients asked for.
-func service(res *Result) (byShape [2]float64) {
+func serviceByShape(res *Result) (byShape [2]float64) {
 	var value [2]float64
 	for i, h := range res.Homes {
 		value[i%2] += h.Value
@@ -70,7 +70,7 @@
 // Guards against a move on which instances of both shapes, before the same servers, break a rule or starve one another. The
 // two mutants show that the checks can fail: one shape that is told that its writes may run again, and one that is told of
 // latency targets that nothing can meet.
-func TestInstancesOfBothShapesKeepTheRulesAndShare(t *testing.T) {
+func TestInstancesWithDifferentSettingsKeepRulesAndShareLoad(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "gorsewell")
 	if out, err := exec.Command("go", "build", "-o", program, "gorsewell/cmd/gorsewell").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
@@ -93,14 +93,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			res := playMixed(t, program, func(index int, told map[string]any) bool {
-				marks := shapeOf(index, told)
+			res := runMixed(t, program, func(index int, told map[string]any) bool {
+				marks := changeSettings(index, told)
 				if index%2 == 1 {
 					c.wrong(told)
 				}
 				return marks
 			})
-			byShape := service(res)
+			byShape := serviceByShape(res)
 			t.Logf("service of the old shape %.3f, of the new %.3f; rules broken %v", byShape[0], byShape[1], res.Broken)
 			if broken := res.RulesBroken() > 0; broken != c.broken {
 				t.Errorf("rules broken: %v, want %v: %q", res.Broken, c.broken, res.Stories)
--- a/internal/loopback/rig.go
+++ b/internal/loopback/rig.go
@@ -42,44 +42,44 @@
 }
 
 // marks tells whether the clients of an instance mark what they ask for again.
-func (d *Day) marks(index int) bool {
+func (d *Day) marksRetries(index int) bool {
 	if d.Shape == nil {
 		return d.World.Clients.Marks
 	}
-	return d.Shape(index, settings(&d.World))
+	return d.Shape(index, deploymentSettings(&d.World))
 }
 
 // handedOut counts the addresses that were.
-var handedOut atomic.Int64
+var allocatedAddrs atomic.Int64
 
 // rig is a day under way.
-type rig struct {
+type harness struct {
 	Day
-	dir       string
-	fleet     *fleet
-	check     *checker
-	discovery string
-	authority *keys.Authority
+	dir           string
+	fleet         *fleet
+	checker       *checker
+	discoveryAddr string
+	authority     *keys.Authority
 
-	mu       sync.Mutex
-	gateways []*process
-	liars    map[int]*liar
-	closing  bool
-	waits    sync.WaitGroup
+	mu         sync.Mutex
+	gateways   []*gatewayProcess
+	liars      map[int]*liar
+	closing    bool
+	logReaders sync.WaitGroup
 }
 
 // process is one gateway.
-type process struct {
-	r      *rig
-	index  int
-	addr   string
-	gossip string
-	env    []string
-	cmd    *exec.Cmd
-	down   time.Time // zero while it runs
-	last   string    // its last lines of counters
-	words  string    // its last line
-	exited chan struct{}
+type gatewayProcess struct {
+	harness      *harness
+	index        int
+	addr         string
+	gossipAddr   string
+	env          []string
+	cmd          *exec.Cmd
+	downSince    time.Time // zero while it runs
+	counterLines string    // its last lines of counters
+	lastLine     string    // its last line
+	exited       chan struct{}
 }
 
 // Playable tells which faults can be played on sockets.
@@ -98,16 +98,16 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &rig{Day: d, dir: dir, liars: map[int]*liar{}}
-	r.check = newChecker(&r.World)
-	if r.fleet, err = newFleet(&r.World, d.Seed, r.check); err != nil {
+	r := &harness{Day: d, dir: dir, liars: map[int]*liar{}}
+	r.checker = newChecker(&r.World)
+	if r.fleet, err = newFleet(&r.World, d.Seed, r.checker); err != nil {
 		return nil, err
 	}
 	defer r.fleet.close()
-	if r.discovery, err = r.fleet.lists.listen(); err != nil {
+	if r.discoveryAddr, err = r.fleet.discovery.listen(); err != nil {
 		return nil, err
 	}
-	defer r.fleet.lists.close()
+	defer r.fleet.discovery.close()
 	defer r.stop()
 	if err := r.startGateways(); err != nil {
 		return nil, err
@@ -121,34 +121,34 @@
 	for _, p := range r.gateways {
 		addrs = append(addrs, p.addr)
 	}
-	c := newClients(&r.World, d.Seed, addrs, r.front, r.marks)
-	r.check.start = time.Now()
+	c := newClients(&r.World, d.Seed, addrs, r.pickGateway, r.marksRetries)
+	r.checker.start = time.Now()
 	stop := make(chan struct{})
 	var faults sync.WaitGroup
 	for i := range d.Faults {
-		faults.Go(func() { r.strike(&d.Faults[i], i, stop) })
+		faults.Go(func() { r.injectFault(&d.Faults[i], i, stop) })
 	}
-	c.ask()
+	c.run()
 	close(stop)
 	faults.Wait()
 	r.stop()
-	res := c.res
-	r.check.mu.Lock()
-	defer r.check.mu.Unlock()
-	for i, n := range r.check.broken {
+	res := c.result
+	r.checker.mu.Lock()
+	defer r.checker.mu.Unlock()
+	for i, n := range r.checker.violations {
 		res.Broken[i] += n
 	}
-	res.Stories = append(res.Stories, r.check.stories...)
-	res.Events, res.Sends = r.check.events, r.check.sends
-	res.Ready = r.check.restarts
+	res.Stories = append(res.Stories, r.checker.stories...)
+	res.Events, res.Sends = r.checker.events, r.checker.sends
+	res.Ready = r.checker.startupTimes
 	for _, p := range r.gateways {
-		res.Gateways = append(res.Gateways, p.last)
+		res.Gateways = append(res.Gateways, p.counterLines)
 	}
 	return res, nil
 }
 
 // settings is the deployment as gateways are told it.
-func settings(w *emulator.World) map[string]any {
+func deploymentSettings(w *emulator.World) map[string]any {
 	var classes []any
 	var needs, bounds []any
 	for _, t := range w.OpTypes {
@@ -185,10 +185,10 @@
 }
 
 // free finds a port that nobody holds, for TCP and UDP.
-func free() (string, error) {
+func freeAddr() (string, error) {
 	// An address of its own: the port is free while the process is down, and others on this machine, connections among them,
 	// take free ports of 127.0.0.1.
-	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>8%64, os.Getpid()&255, 1+handedOut.Add(1)%250)
+	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>8%64, os.Getpid()&255, 1+allocatedAddrs.Add(1)%250)
 	for range 20 {
 		l, err := net.Listen("tcp", host+":0")
 		if err != nil {
@@ -206,7 +206,7 @@
 }
 
 // startGateways starts the instances and waits until each takes ops.
-func (r *rig) startGateways() error {
+func (r *harness) startGateways() error {
 	var err error
 	if r.authority, err = keys.NewAuthority("day"); err != nil {
 		return err
@@ -214,26 +214,26 @@
 	if _, _, err = keys.WriteAuthority(r.dir, r.authority); err != nil {
 		return err
 	}
-	known, err := json.Marshal(r.fleet.lists.page(0))
+	known, err := json.Marshal(r.fleet.discovery.listSince(0))
 	if err != nil {
 		return err
 	}
 	var seeds []string
 	for i := range r.World.Gateways.Count {
-		p := &process{r: r, index: i}
-		if p.addr, err = free(); err != nil {
+		p := &gatewayProcess{harness: r, index: i}
+		if p.addr, err = freeAddr(); err != nil {
 			return err
 		}
-		if p.gossip, err = free(); err != nil {
+		if p.gossipAddr, err = freeAddr(); err != nil {
 			return err
 		}
 		if len(seeds) < 3 {
-			seeds = append(seeds, p.gossip)
+			seeds = append(seeds, p.gossipAddr)
 		}
 		r.gateways = append(r.gateways, p)
 	}
 	for _, p := range r.gateways {
-		all := settings(&r.World)
+		all := deploymentSettings(&r.World)
 		if r.Shape != nil {
 			r.Shape(p.index, all)
 		}
@@ -241,7 +241,7 @@
 		if err != nil {
 			return err
 		}
-		if err := p.write(known, told, seeds); err != nil {
+		if err := p.writeFiles(known, told, seeds); err != nil {
 			return err
 		}
 		if err := p.start(); err != nil {
@@ -249,7 +249,7 @@
 		}
 	}
 	for _, p := range r.gateways {
-		if err := p.ready(); err != nil {
+		if err := p.waitReady(); err != nil {
 			return err
 		}
 	}
@@ -257,11 +257,11 @@
 }
 
 // write puts together what an instance is given.
-func (p *process) write(known, told []byte, seeds []string) error {
+func (p *gatewayProcess) writeFiles(known, told []byte, seeds []string) error {
 	name := fmt.Sprintf("g%04d", p.index)
-	base := filepath.Join(p.r.dir, name)
+	base := filepath.Join(p.harness.dir, name)
 	text := fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":96,"sockets":1024},"known":%s,"settings":%s}`,
-		name, p.addr, p.r.discovery, p.r.Seed<<16|uint64(p.index), known, told)
+		name, p.addr, p.harness.discoveryAddr, p.harness.Seed<<16|uint64(p.index), known, told)
 	if err := os.WriteFile(base+".json", text, 0o600); err != nil {
 		return err
 	}
@@ -269,7 +269,7 @@
 	if err != nil {
 		return err
 	}
-	cert, err := p.r.authority.Issue(name, private.Public().(ed25519.PublicKey), time.Now().Add(24*time.Hour))
+	cert, err := p.harness.authority.Issue(name, private.Public().(ed25519.PublicKey), time.Now().Add(24*time.Hour))
 	if err != nil {
 		return err
 	}
@@ -277,31 +277,31 @@
 		return err
 	}
 	p.env = append(os.Environ(), "LB_CONFIG="+base+".json", "LB_NAME=", "LB_LISTEN=", "LB_DISCOVERY=", "GORSEWELL_CONFIG=", "GOMAXPROCS=1")
-	g := &p.r.World.Gossip
+	g := &p.harness.World.Gossip
 	yaml := fmt.Sprintf("gossip:\n  enabled: true\n  cluster: day\n  listen: %q\n  seeds: [\"%s\"]\n  certificate: %s.crt\n  key: %s.key\n  authorities: [day.authority]\n"+
 		"  probe_every: %v\n  probe_timeout: %v\n  suspect_for: %v\n  tell_every: %v\n  sync_every: %v\n  rumour_life: %v\n",
-		p.gossip, strings.Join(seeds, `", "`), name, name, g.ProbeEvery, g.ProbeTimeout, g.SuspectFor, g.TellEvery, g.SyncEvery, g.RumourLife)
+		p.gossipAddr, strings.Join(seeds, `", "`), name, name, g.ProbeEvery, g.ProbeTimeout, g.SuspectFor, g.TellEvery, g.SyncEvery, g.RumourLife)
 	return os.WriteFile(base+".yaml", []byte(yaml), 0o600)
 }
 
 // lies tells whether an instance is to lie: then its gossip is the rig's, and the gateway beside it has none.
-func (p *process) lies() bool { return slices.Contains(p.r.lying(), p.index) }
+func (p *gatewayProcess) isLiar() bool { return slices.Contains(p.harness.liarIndexes(), p.index) }
 
 // start starts the process.
-func (p *process) start() error {
+func (p *gatewayProcess) start() error {
 	args := []string{"run"}
-	if p.r.Gossip && !p.lies() {
-		args = append(args, "--config", filepath.Join(p.r.dir, fmt.Sprintf("g%04d.yaml", p.index)))
+	if p.harness.Gossip && !p.isLiar() {
+		args = append(args, "--config", filepath.Join(p.harness.dir, fmt.Sprintf("g%04d.yaml", p.index)))
 	}
-	cmd := exec.Command(p.r.Program, args...)
+	cmd := exec.Command(p.harness.Program, args...)
 	cmd.Env = p.env
 	out, err := cmd.StderrPipe()
 	if err != nil {
 		return err
 	}
 	var log io.Writer = io.Discard
-	if p.r.Keep != "" {
-		f, err := os.OpenFile(filepath.Join(p.r.Keep, fmt.Sprintf("g%04d.log", p.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	if p.harness.Keep != "" {
+		f, err := os.OpenFile(filepath.Join(p.harness.Keep, fmt.Sprintf("g%04d.log", p.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return err
 		}
@@ -310,22 +310,22 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.r.mu.Lock()
-	p.cmd, p.down, p.exited = cmd, time.Time{}, make(chan struct{})
+	p.harness.mu.Lock()
+	p.cmd, p.downSince, p.exited = cmd, time.Time{}, make(chan struct{})
 	exited := p.exited
-	p.r.mu.Unlock()
-	p.r.waits.Go(func() {
+	p.harness.mu.Unlock()
+	p.harness.logReaders.Go(func() {
 		lines := bufio.NewScanner(out)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
 			fmt.Fprintln(log, lines.Text())
-			p.r.mu.Lock()
-			p.words = lines.Text()
-			p.r.mu.Unlock()
+			p.harness.mu.Lock()
+			p.lastLine = lines.Text()
+			p.harness.mu.Unlock()
 			if strings.Contains(lines.Text(), "event=gossip_counters") || strings.Contains(lines.Text(), "event=stopped") {
-				p.r.mu.Lock()
-				p.last += lines.Text() + "\n"
-				p.r.mu.Unlock()
+				p.harness.mu.Lock()
+				p.counterLines += lines.Text() + "\n"
+				p.harness.mu.Unlock()
 			}
 		}
 		cmd.Wait()
@@ -338,14 +338,14 @@
 }
 
 // ready waits until the gateway takes ops.
-func (p *process) ready() error {
+func (p *gatewayProcess) waitReady() error {
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if c, err := net.DialTimeout("tcp", p.addr, time.Second); err == nil {
 			c.SetDeadline(time.Now().Add(time.Second))
 			c.Write(append(pgwire.AppendStartup(nil, "portal", "crm"), pgwire.AppendQuery(nil, "")...))
 			k := &conn{Conn: c}
-			_, first := k.answer()
-			_, second := k.answer()
+			_, first := k.readResponse()
+			_, second := k.readResponse()
 			c.Close()
 			if first == nil && second == nil {
 				return nil
@@ -353,9 +353,9 @@
 		}
 		select {
 		case <-p.exited:
-			p.r.mu.Lock()
-			defer p.r.mu.Unlock()
-			return fmt.Errorf("gateway %d ended at its start: %s", p.index, p.words)
+			p.harness.mu.Lock()
+			defer p.harness.mu.Unlock()
+			return fmt.Errorf("gateway %d ended at its start: %s", p.index, p.lastLine)
 		default:
 		}
 		if time.Now().After(end) {
@@ -365,13 +365,13 @@
 }
 
 // front is the instance that the front would take: a client's own, or another once the front has noticed that it is dead.
-func (r *rig) front(home int) int {
+func (r *harness) pickGateway(home int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := len(r.gateways)
 	for i := range n {
 		p := r.gateways[(home+i)%n]
-		if p.down.IsZero() || time.Since(p.down) < r.World.Gateways.FrontKnows {
+		if p.downSince.IsZero() || time.Since(p.downSince) < r.World.Gateways.FrontKnows {
 			return p.index
 		}
 	}
@@ -379,10 +379,10 @@
 }
 
 // kill ends an instance at once and starts it again after a while.
-func (r *rig) kill(p *process, back time.Duration, stop <-chan struct{}) {
+func (r *harness) killAndRestart(p *gatewayProcess, back time.Duration, stop <-chan struct{}) {
 	r.mu.Lock()
 	cmd := p.cmd
-	p.down = time.Now()
+	p.downSince = time.Now()
 	r.mu.Unlock()
 	cmd.Process.Kill()
 	<-p.exited
@@ -398,35 +398,35 @@
 		return
 	}
 	began := time.Now()
-	if err := errors.Join(p.start(), p.ready()); err != nil {
-		r.check.event("gateway %d does not start again: %v", p.index, err)
+	if err := errors.Join(p.start(), p.waitReady()); err != nil {
+		r.checker.event("gateway %d does not start again: %v", p.index, err)
 	}
-	r.check.ready(time.Since(began))
+	r.checker.gatewayReady(time.Since(began))
 }
 
 // What the platform does at a planned stop: the front goes on sending for a moment, and the kill comes so long after the longest
 // op timeout, or after three seconds where that is longer.
 const (
-	frontGoesOn = 300 * time.Millisecond
-	longestKept = 3 * time.Second
-	killedAfter = 700 * time.Millisecond
+	frontDelay   = 300 * time.Millisecond
+	maxDrainTime = 3 * time.Second
+	killMargin   = 700 * time.Millisecond
 )
 
 // roll stops an instance by plan and starts it again after a while.
-func (r *rig) roll(p *process, back time.Duration, stop <-chan struct{}) {
+func (r *harness) stopAndRestart(p *gatewayProcess, back time.Duration, stop <-chan struct{}) {
 	longest := time.Duration(0)
 	for _, t := range r.World.OpTypes {
 		longest = max(longest, t.Timeout)
 	}
 	r.mu.Lock()
 	cmd := p.cmd
-	p.down = time.Now().Add(frontGoesOn - r.World.Gateways.FrontKnows)
+	p.downSince = time.Now().Add(frontDelay - r.World.Gateways.FrontKnows)
 	r.mu.Unlock()
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
-	case <-time.After(min(longest, longestKept) + killedAfter):
-		r.check.event("gateway %d is killed: it did not end", p.index)
+	case <-time.After(min(longest, maxDrainTime) + killMargin):
+		r.checker.event("gateway %d is killed: it did not end", p.index)
 		cmd.Process.Kill()
 		<-p.exited
 	}
@@ -442,20 +442,20 @@
 		return
 	}
 	began := time.Now()
-	if err := errors.Join(p.start(), p.ready()); err != nil {
-		r.check.event("gateway %d does not start again: %v", p.index, err)
+	if err := errors.Join(p.start(), p.waitReady()); err != nil {
+		r.checker.event("gateway %d does not start again: %v", p.index, err)
 	}
-	r.check.ready(time.Since(began))
+	r.checker.gatewayReady(time.Since(began))
 }
 
 // stop ends all instances, by plan, and waits for them.
-func (r *rig) stop() {
+func (r *harness) stop() {
 	r.mu.Lock()
 	already := r.closing
 	r.closing = true
-	var running []*process
+	var running []*gatewayProcess
 	for _, p := range r.gateways {
-		if p.cmd != nil && p.down.IsZero() {
+		if p.cmd != nil && p.downSince.IsZero() {
 			running = append(running, p)
 		}
 	}
@@ -464,7 +464,7 @@
 		return
 	}
 	for _, l := range r.liars {
-		l.end()
+		l.stop()
 	}
 	for _, p := range running {
 		p.cmd.Process.Signal(syscall.SIGCONT)
@@ -477,11 +477,11 @@
 			p.cmd.Process.Kill()
 		}
 	}
-	r.waits.Wait()
+	r.logReaders.Wait()
 }
 
 // targets draws what a fault strikes, in the emulator's way.
-func (r *rig) targets(f *emulator.Fault, rng *mathrand.Rand) (servers []*server, gateways []*process) {
+func (r *harness) pickTargets(f *emulator.Fault, rng *mathrand.Rand) (servers []*server, gateways []*gatewayProcess) {
 	amount := func(of int) int {
 		n := f.Count
 		if f.Share > 0 {
@@ -500,7 +500,7 @@
 	var fit []*server
 	for _, s := range r.fleet.servers {
 		primary := s.group.primary == s
-		if s.l == nil || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.groupIndex() != f.Group-1 || f.Of == "primaries" && !primary ||
+		if s.listener == nil || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.groupIndex() != f.Group-1 || f.Of == "primaries" && !primary ||
 			f.Of == "replicas" && primary {
 			continue
 		}
@@ -514,15 +514,15 @@
 	return servers, nil
 }
 
-func (r *rig) rngOf(order int) *mathrand.Rand {
+func (r *harness) faultRand(order int) *mathrand.Rand {
 	return mathrand.New(mathrand.NewPCG(r.Seed, 0xfa01+uint64(order)))
 }
 
 // lying lists the instances that are to lie.
-func (r *rig) lying() (all []int) {
+func (r *harness) liarIndexes() (all []int) {
 	for i := range r.Faults {
 		if f := &r.Faults[i]; f.Kind == "liar" {
-			_, gateways := r.targets(f, r.rngOf(i))
+			_, gateways := r.pickTargets(f, r.faultRand(i))
 			for _, p := range gateways {
 				all = append(all, p.index)
 			}
@@ -532,7 +532,7 @@
 }
 
 // strike plays one fault.
-func (r *rig) strike(f *emulator.Fault, order int, stop <-chan struct{}) {
+func (r *harness) injectFault(f *emulator.Fault, order int, stop <-chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-time.After(d):
@@ -541,7 +541,7 @@
 			return false
 		}
 	}
-	rng := r.rngOf(order)
+	rng := r.faultRand(order)
 	if f.At > 0 && !wait(f.At) {
 		return
 	}
@@ -550,20 +550,20 @@
 		size = map[string]float64{"slow": 5, "error": 0.6, "slow_apply": 8}[f.Kind]
 	}
 	if f.Kind == "list_silent" {
-		r.check.event("all watches fall silent")
-		r.fleet.lists.silence()
+		r.checker.event("all watches fall silent")
+		r.fleet.discovery.silenceWatches()
 		return
 	}
 	for {
-		servers, gateways := r.targets(f, rng)
-		r.check.event("%s begins at %d servers, %d gateways", f.Kind, len(servers), len(gateways))
+		servers, gateways := r.pickTargets(f, rng)
+		r.checker.event("%s begins at %d servers, %d gateways", f.Kind, len(servers), len(gateways))
 		var running sync.WaitGroup
 		for i, p := range gateways {
 			switch f.Kind {
 			case "gateway_crash":
-				running.Go(func() { r.kill(p, max(f.Back, 100*time.Millisecond), stop) })
+				running.Go(func() { r.killAndRestart(p, max(f.Back, 100*time.Millisecond), stop) })
 			case "gateway_roll":
-				running.Go(func() { r.roll(p, max(f.Back, 100*time.Millisecond), stop) })
+				running.Go(func() { r.stopAndRestart(p, max(f.Back, 100*time.Millisecond), stop) })
 			case "gateway_pause":
 				p.cmd.Process.Signal(syscall.SIGSTOP)
 				running.Go(func() {
@@ -576,19 +576,19 @@
 					if how == "" || how == "mixed" {
 						how = emulator.Lies[i%len(emulator.Lies)]
 					}
-					r.lie(p, how)
+					r.startLiar(p, how)
 				}
 			}
 		}
 		for _, s := range servers {
-			r.ail(f.Kind, s, size, true)
+			r.setServerFault(f.Kind, s, size, true)
 		}
 		if f.For > 0 {
 			wait(f.For)
 			for _, s := range servers {
-				r.ail(f.Kind, s, size, false)
+				r.setServerFault(f.Kind, s, size, false)
 			}
-			r.check.event("%s ends", f.Kind)
+			r.checker.event("%s ends", f.Kind)
 		}
 		running.Wait()
 		if f.Every <= 0 || !wait(max(0, f.Every-f.For)) {
@@ -598,38 +598,38 @@
 }
 
 // ail begins or ends what ails a server.
-func (r *rig) ail(kind string, s *server, size float64, begins bool) {
+func (r *harness) setServerFault(kind string, s *server, size float64, begins bool) {
 	switch kind {
 	case "crash":
 		if begins {
 			s.crash()
 		} else if err := s.start(); err != nil {
-			r.check.event("server %d does not start again: %v", s.num, err)
+			r.checker.event("server %d does not start again: %v", s.num, err)
 		}
 	case "drain": // its process ends at the fault's end and is back, cold
 		if begins {
-			s.set(func(s *server) { s.draining = true })
-			r.fleet.lists.changed(s, 0)
+			s.update(func(s *server) { s.draining = true })
+			r.fleet.discovery.publishAfter(s, 0)
 		} else {
 			s.crash()
 			if err := s.start(); err != nil {
-				r.check.event("server %d does not start again: %v", s.num, err)
+				r.checker.event("server %d does not start again: %v", s.num, err)
 			}
 		}
 	case "hang":
-		s.set(func(s *server) { s.hung = begins && s.l != nil })
+		s.update(func(s *server) { s.hung = begins && s.listener != nil })
 	case "slow":
-		s.set(func(s *server) { s.slow = 1 + (size-1)*one(begins) })
+		s.update(func(s *server) { s.slowdown = 1 + (size-1)*boolToFloat(begins) })
 	case "error":
-		s.set(func(s *server) { s.fails = size * one(begins) })
+		s.update(func(s *server) { s.errorShare = size * boolToFloat(begins) })
 	case "refuse":
-		s.set(func(s *server) { s.refuses = begins })
+		s.update(func(s *server) { s.refusing = begins })
 	case "slow_apply":
-		s.set(func(s *server) { s.slowLog = 1 + (size-1)*one(begins) })
+		s.update(func(s *server) { s.applySlowdown = 1 + (size-1)*boolToFloat(begins) })
 	}
 }
 
-func one(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
