--- a/internal/loopback/check.go
+++ b/internal/loopback/check.go
@@ -8,42 +8,45 @@
 	"gorsewell/internal/emulator"
 )
 
-// checker watches the rules as far as stand-ins see them: what came in, what took effect twice, what was answered from data too old, what came to a draining server. Rule 1 is the clients' to check.
+// checker checks rules 2, 3 and 5 from what the stand-in servers see: writes that take effect twice, ops that arrive at a
+// draining server, and answers from data that is too old. It also collects the events of a run. The clients check rule 1.
 type checker struct {
 	world *emulator.World
 	start time.Time
 
 	mu            sync.Mutex
-	effects       map[uint64]int
-	drainListedAt map[*server]time.Time // when it was listed as draining or gone
-	violations    [5]int64
-	stories       []string
+	effects       map[uint64]int        // how often each op took effect
+	drainListedAt map[*server]time.Time // when the server was listed as draining or gone
+	violations    [5]int64              // by rule
+	stories       []string              // descriptions of the first violations
 	events        []Event
 	sends         int64
-	readPositions map[*job]int64
-	listDelay     time.Duration // after which a change counts as told, since watches fell silent
+	readPositions map[*job]int64 // position of the server when work on the job began
+	listDelay     time.Duration  // time from a change of the list until it counts as known; 0 until watches fall silent
 
-	startupTimes []time.Duration // that instances took to be ready
+	startupTimes []time.Duration // of gateways that were started again
 }
 
-// Event is something that happened in a day.
+// Event is something that happened during a run, such as the start of a fault.
 type Event struct {
 	At   time.Duration
 	What string
 }
 
-const maxStories = 12
+const maxStories = 12 // violations that are described in full; all are counted
 
 func newChecker(w *emulator.World) *checker {
 	return &checker{world: w, start: time.Now(), effects: map[uint64]int{}, drainListedAt: map[*server]time.Time{}, readPositions: map[*job]int64{}}
 }
 
+// event records something that happened.
 func (c *checker) event(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.events = append(c.events, Event{time.Since(c.start), fmt.Sprintf(format, args...)})
 }
 
+// violation counts a violation of a rule and records its description. The caller holds the lock.
 func (c *checker) violation(rule int, format string, args ...any) {
 	c.violations[rule-1]++
 	if len(c.stories) < maxStories {
@@ -51,7 +54,7 @@
 	}
 }
 
-// arrived: a send's last byte has come.
+// opArrived records that a send has arrived in full and checks rule 3.
 func (c *checker) opArrived(s *server, j *job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,14 +64,14 @@
 	}
 }
 
-// began: the work has begun, on data as of a position.
+// workStarted records the position of the server when work on the job starts.
 func (c *checker) workStarted(s *server, j *job, position int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readPositions[j] = position
 }
 
-// effect: a write has taken effect.
+// writeApplied records that a write has taken effect and checks rule 2.
 func (c *checker) writeApplied(s *server, j *job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,21 +80,21 @@
 	}
 }
 
-// answered: the answer is about to be written.
+// answerReady checks rule 5 just before the answer is written.
 func (c *checker) answerReady(s *server, j *job, a answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	at, worked := c.readPositions[j]
 	delete(c.readPositions, j)
 	if a.code == "" && !a.reset && worked && !j.write && j.minPosition > 0 && at < j.minPosition && c.world.Reports.Checks == "none" {
-		// On time by the send's own moment; an answer that comes after its client has left is nobody's answer.
+		// An answer after the op timeout of this send does not count, because its client has left.
 		if time.Since(j.sentAt) < j.opType.Timeout {
 			c.violation(5, "op %s was read by server %d from data %d ms too old", j.id, s.num, j.minPosition-at)
 		}
 	}
 }
 
-// listed: the list has told all who watch.
+// stateListed records that the state of a server has changed in the list and that open watches are answered.
 func (c *checker) stateListed(s *server, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,16 +105,19 @@
 	}
 }
 
-// toldWithin is how long after a change it counts as told, whatever befell the watches.
+// maxPropagationDelay is the time after a change of the list by which each gateway must know it, even if all watches
+// have fallen silent.
 const maxPropagationDelay = 6 * time.Second
 
-// silent: all watches have fallen silent. Each gateway opens another in its own time.
+// watchesSilenced records that all open watches have fallen silent. Each gateway opens a new one at a time of its own, so
+// a later change counts as known only after maxPropagationDelay.
 func (c *checker) watchesSilenced() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listDelay = maxPropagationDelay
 }
 
+// gatewayReady records how long a gateway that was started again took until it was ready.
 func (c *checker) gatewayReady(took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -18,67 +18,79 @@
 	"gorsewell/internal/pgwire"
 )
 
-// planned is one op as it was drawn before the day began: when it is due does not depend on how any other is answered.
+// plannedOp is one op, drawn before the run starts: the time of its arrival does not depend on the answers to other ops.
 type plannedOp struct {
-	arrival           time.Duration
+	arrival           time.Duration // since the start of the run
 	id                uint64
 	opType            *emulator.OpType
 	group             int
 	session           int
-	homeGateway       int
-	patience          float64
-	honoursRetryAfter bool
+	homeGateway       int     // index of the gateway that the client normally uses
+	patience          float64 // fraction of the op timeout that the client waits for an answer
+	honoursRetryAfter bool    // the client waits as long as a busy reply asks for
 }
 
-// clients asks as it was planned and keeps what comes of it.
+// clients sends the planned ops to the gateways and collects the result.
 type clients struct {
 	world        *emulator.World
-	gateways     []string // addresses; the front's view of who is there is the rig's
+	gateways     []string // addresses by index
 	pickGateway  func(home int) (index int)
-	marksRetries func(home int) bool // whether a try says that it is another one
+	marksRetries func(home int) bool // reports whether the clients of a gateway mark retries as such
 	plan         []plannedOp
 	start        time.Time
 	running      sync.WaitGroup
 
 	mu         sync.Mutex
-	idleConns  map[int][]*conn // idle, by gateway
-	lastWrites map[int]int64   // by session
+	idleConns  map[int][]*conn // by gateway
+	lastWrites map[int]int64   // time of the last acked write by session, Unix milliseconds
 	result     *Result
-	slots      chan struct{} // bounds how many are open
+	slots      chan struct{} // limits the number of ops in progress
 }
 
-// Result is what came of a day on sockets.
+// Result is the result of a run on sockets.
 type Result struct {
-	Asked, Value, Earned   float64
-	Types                  []TypeResult
-	Windows                []emulator.Window
-	Busy, Errored, Retries int64
-	Lost, Garbled          int64 // tries that ended without an answer; answers that were nobody's
-	TimedOut               int64 // tries whose client left, as its time was up
-	Crossed                int64 // tries asked for once more, as their connection ended with no word
-	Broken                 [5]int64
-	Stories                []string
-	Events                 []Event
-	Lateness               *hdrhistogram.Histogram // of sending, after the intended time, in microseconds
-	Unsent                 int64                   // ops that this end could not ask in time, for want of room
-	Sends                  int64
-	Gateways               []string // last words of the instances: their counters
-	Homes                  []HomeResult
-	Ready                  []time.Duration // that instances took to be ready when they were started again
+	Asked    float64 // number of ops sent by clients
+	Value    float64 // total value of those ops
+	Earned   float64 // value of the acks, reduced for late ones
+	Types    []TypeResult
+	Windows  []emulator.Window // one per second
+	Busy     int64
+	Errored  int64
+	Retries  int64
+	Lost     int64    // attempts whose connection ended without an answer
+	Garbled  int64    // answers that belong to another op
+	TimedOut int64    // attempts whose client left because its time was up
+	Crossed  int64    // attempts repeated because the gateway closed the idle connection at the same moment
+	Broken   [5]int64 // violations by rule
+	Stories  []string // descriptions of the first violations
+	Events   []Event
+	Lateness *hdrhistogram.Histogram // delay of sending after the intended time, in microseconds
+	Unsent   int64                   // ops that were not sent because maxOpenOps ops were in progress
+	Sends    int64
+	Gateways []string        // by gateway, the log lines that hold its counters
+	Homes    []HomeResult    // by gateway
+	Ready    []time.Duration // startup times of gateways that were started again
 }
 
-// HomeResult is what came of the ops of one instance's own clients.
-type HomeResult struct{ Value, Earned float64 }
+// HomeResult is the result of the ops of the clients of one gateway.
+type HomeResult struct {
+	Value  float64
+	Earned float64
+}
 
-// TypeResult is what came of one op type.
+// TypeResult is the result of one op type.
 type TypeResult struct {
-	Name                       string
-	Asked, Acked, Late, Failed int64
-	Value, Earned              float64
-	Latency                    *hdrhistogram.Histogram // from the intended time of the first try, in microseconds
+	Name    string
+	Asked   int64
+	Acked   int64 // within the latency target
+	Late    int64 // acked after the latency target
+	Failed  int64
+	Value   float64
+	Earned  float64
+	Latency *hdrhistogram.Histogram // from the intended time of the first attempt, in microseconds
 }
 
-// Service is the part of the value asked for that was earned.
+// Service returns the fraction of the value of all ops that was earned.
 func (r *Result) Service() float64 {
 	if r.Value == 0 {
 		return 1
@@ -86,7 +98,7 @@
 	return r.Earned / r.Value
 }
 
-// RulesBroken counts over all rules.
+// RulesBroken returns the number of violations of all rules.
 func (r *Result) RulesBroken() (sum int64) {
 	for _, n := range r.Broken {
 		sum += n
@@ -94,16 +106,16 @@
 	return sum
 }
 
-const maxOpenOps = 20000
+const maxOpenOps = 20000 // ops in progress at a time
 
-// draws plans a day.
+// planOps draws all ops of a run.
 func planOps(w *emulator.World, seed uint64) []plannedOp {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	shares, sum := []float64{}, 0.0
+	cumulativeShares, sum := []float64{}, 0.0
 	work := 0.0
 	for _, t := range w.OpTypes {
 		sum += t.Share
-		shares = append(shares, sum)
+		cumulativeShares = append(cumulativeShares, sum)
 		work += t.Share * t.Work.Seconds()
 	}
 	rate := w.Load.PerSecond
@@ -115,36 +127,37 @@
 		}
 		rate = w.Load.Use * capacity / (work / sum)
 	}
-	pick := func(added []float64) int {
-		i, _ := slices.BinarySearch(added, rng.Float64()*added[len(added)-1])
-		return min(i, len(added)-1)
+	pick := func(cumulative []float64) int {
+		i, _ := slices.BinarySearch(cumulative, rng.Float64()*cumulative[len(cumulative)-1])
+		return min(i, len(cumulative)-1)
 	}
-	type recent struct {
-		session, home int
-		at            time.Duration
+	type write struct {
+		session     int
+		homeGateway int
+		arrival     time.Duration
 	}
-	writes := make([][]recent, w.Servers.Groups)
+	recentWrites := make([][]write, w.Servers.Groups)
 	var plan []plannedOp
-	for at := time.Duration(0); ; {
-		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if at >= w.Length {
+	for arrival := time.Duration(0); ; {
+		arrival += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
+		if arrival >= w.Length {
 			return plan
 		}
-		t := &w.OpTypes[pick(shares)]
-		p := plannedOp{arrival: at, id: uint64(len(plan) + 1), opType: t, group: rng.IntN(w.Servers.Groups)}
+		t := &w.OpTypes[pick(cumulativeShares)]
+		p := plannedOp{arrival: arrival, id: uint64(len(plan) + 1), opType: t, group: rng.IntN(w.Servers.Groups)}
 		p.session = rng.IntN(max(1, w.Clients.Sessions)*w.Gateways.Count) + 1
 		p.homeGateway = p.session % w.Gateways.Count
-		if t.Need == "session" && rng.Float64() < w.Clients.Follows && len(writes[p.group]) > 0 {
-			wanted := time.Duration(rng.ExpFloat64() * float64(w.Clients.Gap))
-			best := slices.MinFunc(writes[p.group], func(a, b recent) int {
-				return cmp.Compare(math.Abs(float64(at-a.at-wanted)), math.Abs(float64(at-b.at-wanted)))
+		if t.Need == "session" && rng.Float64() < w.Clients.Follows && len(recentWrites[p.group]) > 0 {
+			wantedGap := time.Duration(rng.ExpFloat64() * float64(w.Clients.Gap))
+			closest := slices.MinFunc(recentWrites[p.group], func(a, b write) int {
+				return cmp.Compare(math.Abs(float64(arrival-a.arrival-wantedGap)), math.Abs(float64(arrival-b.arrival-wantedGap)))
 			})
-			p.session, p.homeGateway = best.session, best.home
+			p.session, p.homeGateway = closest.session, closest.homeGateway
 		}
 		if t.Need == "write" {
-			writes[p.group] = append(writes[p.group], recent{p.session, p.homeGateway, at})
-			if n := len(writes[p.group]); n > 32 {
-				writes[p.group] = writes[p.group][n-16:]
+			recentWrites[p.group] = append(recentWrites[p.group], write{p.session, p.homeGateway, arrival})
+			if n := len(recentWrites[p.group]); n > 32 {
+				recentWrites[p.group] = recentWrites[p.group][n-16:]
 			}
 		}
 		if rng.Float64() < w.Clients.Roam {
@@ -156,8 +169,9 @@
 	}
 }
 
-func newClients(w *emulator.World, seed uint64, gateways []string, front func(int) int, says func(int) bool) *clients {
-	c := &clients{world: w, gateways: gateways, pickGateway: front, marksRetries: says, plan: planOps(w, seed), idleConns: map[int][]*conn{}, lastWrites: map[int]int64{},
+// newClients returns clients with the ops drawn from the seed.
+func newClients(w *emulator.World, seed uint64, gateways []string, pickGateway func(int) int, marksRetries func(int) bool) *clients {
+	c := &clients{world: w, gateways: gateways, pickGateway: pickGateway, marksRetries: marksRetries, plan: planOps(w, seed), idleConns: map[int][]*conn{}, lastWrites: map[int]int64{},
 		slots: make(chan struct{}, maxOpenOps)}
 	c.result = &Result{Lateness: hdrhistogram.New(1, 60e6, 2), Windows: make([]emulator.Window, int(w.Length/time.Second)+1),
 		Homes: make([]HomeResult, len(gateways))}
@@ -167,7 +181,7 @@
 	return c
 }
 
-// ask asks all that was planned, each at its time, and returns when all is answered or given up.
+// run sends each planned op at its time and returns when all have been answered or given up.
 func (c *clients) run() {
 	c.start = time.Now()
 	for i := range c.plan {
@@ -204,41 +218,41 @@
 	}
 }
 
-// one asks for one op until it is answered or its client gives up.
+// runOp sends one op, with retries, until it is acked or its client gives up.
 func (c *clients) runOp(p *plannedOp) {
-	t, _ := c.typeResult(p)
+	result, _ := c.typeResult(p)
 	c.mu.Lock()
 	c.result.Lateness.RecordValue(max(1, time.Since(c.start.Add(p.arrival)).Microseconds()))
-	t.Asked++
-	t.Value += p.opType.Value
+	result.Asked++
+	result.Value += p.opType.Value
 	c.result.Homes[p.homeGateway].Value += p.opType.Value
 	window := &c.result.Windows[min(int(p.arrival/time.Second), len(c.result.Windows)-1)]
 	window.Asked++
 	window.Value += p.opType.Value
 	c.mu.Unlock()
-	for try := 0; ; try++ {
-		end := c.attempt(p, try)
-		if end.acked {
+	for attempt := 0; ; attempt++ {
+		outcome := c.attempt(p, attempt)
+		if outcome.acked {
 			c.mu.Lock()
-			took := time.Since(c.start.Add(p.arrival))
-			t.Latency.RecordValue(took.Microseconds())
+			latency := time.Since(c.start.Add(p.arrival))
+			result.Latency.RecordValue(latency.Microseconds())
 			earned := 0.0
-			if took <= p.opType.Target {
-				t.Acked++
+			if latency <= p.opType.Target {
+				result.Acked++
 				earned = p.opType.Value
 			} else {
-				t.Late++
+				result.Late++
 				earned = p.opType.Value * p.opType.LateValue
 			}
-			t.Earned += earned
+			result.Earned += earned
 			c.result.Homes[p.homeGateway].Earned += earned
 			window.Earned += earned
 			c.mu.Unlock()
 			return
 		}
-		if !end.retrySafe || try >= c.world.Clients.Retries {
+		if !outcome.retrySafe || attempt >= c.world.Clients.Retries {
 			c.mu.Lock()
-			t.Failed++
+			result.Failed++
 			c.mu.Unlock()
 			return
 		}
@@ -247,43 +261,44 @@
 		c.mu.Unlock()
 		wait := c.world.Clients.Backoff
 		if p.honoursRetryAfter {
-			wait += min(end.retryAfter, c.world.Gateways.ComeBack)
+			wait += min(outcome.retryAfter, c.world.Gateways.ComeBack)
 		}
 		time.Sleep(wait)
 	}
 }
 
+// typeResult returns the result and the index of an op's type.
 func (c *clients) typeResult(p *plannedOp) (*TypeResult, int) {
 	for i := range c.world.OpTypes {
 		if &c.world.OpTypes[i] == p.opType {
 			return &c.result.Types[i], i
 		}
 	}
-	panic("loopback: an op type that nobody knows")
+	panic("loopback: op type of a planned op is not in the world")
 }
 
-// ended is how a try ended for its client.
+// attemptOutcome is the outcome of one attempt for its client.
 type attemptOutcome struct {
 	acked      bool
-	retrySafe  bool // trying again is harmless
+	retrySafe  bool // another attempt cannot take effect twice
 	retryAfter time.Duration
 }
 
-// try asks once.
-func (c *clients) attempt(p *plannedOp, try int) attemptOutcome {
+// attempt sends an op once and waits for its answer.
+func (c *clients) attempt(p *plannedOp, attempt int) attemptOutcome {
 	sent := time.Now()
-	due := sent.Add(time.Duration(p.patience * float64(p.opType.Timeout)))
+	deadline := sent.Add(time.Duration(p.patience * float64(p.opType.Timeout)))
 	repeatable := p.opType.Effect == "retryable" || p.opType.Effect == "tokened" && p.opType.Scope == "all"
 	k, err := c.getConn(c.pickGateway(p.homeGateway))
 	if err != nil {
-		return attemptOutcome{retrySafe: true} // it was never taken
+		return attemptOutcome{retrySafe: true} // the op has not been sent
 	}
-	id := fmt.Sprintf("%x.%d", p.id, try)
-	fields := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, p.opType.Name, time.Until(due).Milliseconds(), p.group)
+	id := fmt.Sprintf("%x.%d", p.id, attempt)
+	fields := fmt.Sprintf("id=%s,c=%s,d=%d,cluster=%d", id, p.opType.Name, time.Until(deadline).Milliseconds(), p.group)
 	if p.opType.Effect == "tokened" {
 		fields += fmt.Sprintf(",k=%x", p.id)
 	}
-	if try > 0 && c.marksRetries(p.homeGateway) {
+	if attempt > 0 && c.marksRetries(p.homeGateway) {
 		fields += ",r=1"
 	}
 	if p.opType.Need == "session" && c.world.Reports.Carried {
@@ -293,25 +308,26 @@
 		}
 		c.mu.Unlock()
 	}
-	text := fmt.Sprintf("SELECT data FROM facts WHERE code = 's%d' /* %s */", p.session, fields)
+	query := fmt.Sprintf("SELECT data FROM facts WHERE code = 's%d' /* %s */", p.session, fields)
 	if p.opType.Need == "write" {
-		text = fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('s%d', 'x') RETURNING data /* %s */", p.session, fields)
+		query = fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('s%d', 'x') RETURNING data /* %s */", p.session, fields)
 	}
-	k.SetDeadline(due)
-	a, err := k.query(text)
-	if err != nil && k.reused && k.unanswered && time.Now().Before(due) {
-		// It may have crossed the gateway's close between two ops: then it was not read, and is asked for once more.
+	k.SetDeadline(deadline)
+	a, err := k.query(query)
+	if err != nil && k.reused && k.unanswered && time.Now().Before(deadline) {
+		// The gateway may have closed the connection, idle until now, before it read the query. So the query is sent once
+		// more on a new connection.
 		k.Close()
 		c.mu.Lock()
 		c.result.Crossed++
 		c.mu.Unlock()
-		again, dialled := c.dial(c.pickGateway(p.homeGateway))
-		if dialled != nil {
+		fresh, dialErr := c.dial(c.pickGateway(p.homeGateway))
+		if dialErr != nil {
 			return attemptOutcome{retrySafe: true}
 		}
-		k = again
-		k.SetDeadline(due)
-		a, err = k.query(text)
+		k = fresh
+		k.SetDeadline(deadline)
+		a, err = k.query(query)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -319,7 +335,7 @@
 		k.Close()
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			// Its time is up. A gateway that lives owes an answer by then; a little more is the way's.
+			// The client leaves. A running gateway has to answer by then, except for the time that the network takes.
 			c.result.TimedOut++
 			return attemptOutcome{retrySafe: repeatable}
 		}
@@ -335,7 +351,7 @@
 			c.result.Stories = append(c.result.Stories, fmt.Sprintf("rule 1: op %s was answered %q", id, a.value))
 			return attemptOutcome{}
 		}
-		if p.opType.Need == "write" { // its commit lies before this moment
+		if p.opType.Need == "write" { // the commit came before this moment
 			c.lastWrites[p.session] = max(c.lastWrites[p.session], time.Now().UnixMilli())
 		}
 		return attemptOutcome{acked: true}
@@ -352,11 +368,11 @@
 	net.Conn
 	buffer     pgwire.ReadBuffer
 	gateway    int
-	reused     bool // it has been asked on before
-	unanswered bool // nothing has come since the last question
+	reused     bool // it was idle before the current query
+	unanswered bool // nothing has been received since the last query
 }
 
-// conn takes an idle connection or opens one.
+// getConn returns an idle connection to a gateway or opens one.
 func (c *clients) getConn(gateway int) (*conn, error) {
 	c.mu.Lock()
 	if list := c.idleConns[gateway]; len(list) > 0 {
@@ -373,7 +389,7 @@
 	return c.dial(gateway)
 }
 
-// dial opens a connection.
+// dial opens a connection to a gateway.
 func (c *clients) dial(gateway int) (*conn, error) {
 	nc, err := net.DialTimeout("tcp", c.gateways[gateway], time.Second)
 	if err != nil {
@@ -387,12 +403,12 @@
 	}
 	if a, err := k.readResponse(); err != nil || a.code != "" {
 		k.Close()
-		return nil, fmt.Errorf("not let in: %s %w", a.code, err)
+		return nil, fmt.Errorf("gateway refused the connection: SQLSTATE %q: %w", a.code, err)
 	}
 	return k, nil
 }
 
-// closed tells whether a gateway has closed a connection that nobody used.
+// isClosed reports whether the gateway has closed an idle connection. An unexpected message counts as closed too.
 func (k *conn) isClosed() bool {
 	k.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
 	n, err := k.Read(k.buffer.Space())
@@ -401,20 +417,23 @@
 	return n > 0 || !(errors.As(err, &timeout) && timeout.Timeout())
 }
 
-// said is an answer as a client sees it.
+// response is an answer as a client receives it. The code is empty for a value.
 type response struct {
-	code, value string
-	retryAfter  time.Duration
+	code       string
+	value      string
+	retryAfter time.Duration
 }
 
-func (k *conn) query(text string) (response, error) {
+// query sends a query and waits for its answer.
+func (k *conn) query(query string) (response, error) {
 	k.unanswered = true
-	if _, err := k.Write(pgwire.AppendQuery(nil, text)); err != nil {
+	if _, err := k.Write(pgwire.AppendQuery(nil, query)); err != nil {
 		return response{}, err
 	}
 	return k.readResponse()
 }
 
+// readResponse reads the messages of one answer, up to and including ReadyForQuery.
 func (k *conn) readResponse() (a response, err error) {
 	for {
 		m, ok, err := k.buffer.Next()
@@ -450,7 +469,8 @@
 	}
 }
 
-// detail is the time to come back, in milliseconds in field D.
+// parseRetryAfter returns the retry delay in an ErrorResponse, which is the number of milliseconds in its detail field,
+// or 0 if there is none.
 func parseRetryAfter(body []byte) time.Duration {
 	for len(body) > 1 {
 		value, rest, err := pgwire.CutString(body[1:])
--- a/internal/loopback/discovery.go
+++ b/internal/loopback/discovery.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// discovery is the list service.
+// discovery is a stand-in discovery service.
 type discovery struct {
 	fleet      *fleet
 	listener   net.Listener
@@ -20,11 +20,11 @@
 	version  int
 	entries  []entry
 	changes  []change
-	updated  chan struct{} // closed at each change
-	silenced chan struct{} // closed when the watches that are open fall silent
+	updated  chan struct{} // closed at each change of the list
+	silenced chan struct{} // closed when the open watches fall silent
 }
 
-// line is a server as it is listed.
+// entry is one server of the list.
 type entry struct {
 	ID        string  `json:"id"`
 	Addr      string  `json:"addr"`
@@ -38,11 +38,13 @@
 	serverNum int
 }
 
+// change records that the entry of a server changed with a version of the list.
 type change struct {
 	version   int
 	serverNum int
 }
 
+// serverList is the list, or the changes to it, as discovery sends it.
 type serverList struct {
 	Version int     `json:"version"`
 	Full    bool    `json:"full"`
@@ -53,23 +55,24 @@
 	return &discovery{fleet: f, version: 1, updated: make(chan struct{}), silenced: make(chan struct{})}
 }
 
-// begin lists the servers as they are and answers from then on.
+// init adds all servers to the list in their current state. It must be called before listen.
 func (d *discovery) init() {
 	for _, s := range d.fleet.servers {
 		role := "replica"
 		if s.group.primary == s {
 			role = "primary"
 		}
-		l := entry{ID: fmt.Sprintf("s-%08x", s.num), Addr: s.addr, Zone: fmt.Sprint("z", s.zone), Kind: "plain", Cell: s.groupIndex(), State: "in_service",
+		e := entry{ID: fmt.Sprintf("s-%08x", s.num), Addr: s.addr, Zone: fmt.Sprint("z", s.zone), Kind: "plain", Cell: s.groupIndex(), State: "in_service",
 			Weight: float64(s.cores), serverNum: s.num}
 		if d.fleet.world.List.Roles != "none" {
-			l.Role = role
+			e.Role = role
 		}
-		d.entries = append(d.entries, l)
+		d.entries = append(d.entries, e)
 	}
 	d.httpServer = &http.Server{Handler: http.HandlerFunc(d.handle)}
 }
 
+// groupIndex returns the index of the server's group.
 func (s *server) groupIndex() int {
 	for i, g := range s.fleet.groups {
 		if g == s.group {
@@ -79,6 +82,7 @@
 	return -1
 }
 
+// listen starts answering calls and returns the address.
 func (d *discovery) listen() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,12 +99,13 @@
 	}
 }
 
-// changed lists a server's state as it is after a time, if that lasts.
-func (d *discovery) publishAfter(s *server, late time.Duration) {
-	life, draining := s.generation, s.draining
-	time.AfterFunc(late, func() {
+// publishAfter lists the state of a server after a delay, unless the server has stopped or started to drain in the
+// meantime.
+func (d *discovery) publishAfter(s *server, delay time.Duration) {
+	generation, draining := s.generation, s.draining
+	time.AfterFunc(delay, func() {
 		s.fleet.mu.Lock()
-		same := s.generation == life && s.draining == draining
+		unchanged := s.generation == generation && s.draining == draining
 		state, started := "in_service", int64(0)
 		switch {
 		case s.listener == nil:
@@ -112,7 +117,7 @@
 			started = s.started.UnixMilli()
 		}
 		s.fleet.mu.Unlock()
-		if !same {
+		if !unchanged {
 			return
 		}
 		d.mu.Lock()
@@ -130,24 +135,24 @@
 	})
 }
 
-// page is what has changed since a version; the whole list for 0.
+// listSince returns the changes since a version, or the whole list for version 0.
 func (d *discovery) listSince(since int) serverList {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	p := serverList{Version: d.version, Full: since == 0, Servers: []entry{}}
-	for _, l := range d.entries {
-		in := since == 0 && l.State != "terminated"
+	list := serverList{Version: d.version, Full: since == 0, Servers: []entry{}}
+	for _, e := range d.entries {
+		included := since == 0 && e.State != "terminated"
 		for _, c := range d.changes {
-			in = in || since > 0 && c.version > since && c.serverNum == l.serverNum
+			included = included || since > 0 && c.version > since && c.serverNum == e.serverNum
 		}
-		if in {
-			p.Servers = append(p.Servers, l)
+		if included {
+			list.Servers = append(list.Servers, e)
 		}
 	}
-	return p
+	return list
 }
 
-// silence has the watches that are open hear nothing more, without an end.
+// silenceWatches makes the open watches fall silent: they are neither answered nor closed.
 func (d *discovery) silenceWatches() {
 	d.fleet.checker.watchesSilenced()
 	d.mu.Lock()
@@ -156,29 +161,31 @@
 	d.silenced = make(chan struct{})
 }
 
+// handle answers a call at once if it asks for the whole list, does not wait or there are changes. Otherwise it waits
+// until the list changes or the timeout of the call expires.
 func (d *discovery) handle(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	since, _ := strconv.Atoi(q.Get("since"))
-	wait, _ := strconv.Atoi(q.Get("timeout_ms"))
-	end := time.After(time.Duration(min(wait, 60000)) * time.Millisecond)
+	query := r.URL.Query()
+	since, _ := strconv.Atoi(query.Get("since"))
+	wait, _ := strconv.Atoi(query.Get("timeout_ms"))
+	timeout := time.After(time.Duration(min(wait, 60000)) * time.Millisecond)
 	d.mu.Lock()
-	silent := d.silenced
+	silenced := d.silenced
 	d.mu.Unlock()
 	for {
 		d.mu.Lock()
-		news := d.updated
+		updated := d.updated
 		d.mu.Unlock()
-		p := d.listSince(since)
-		if since == 0 || len(p.Servers) > 0 || wait == 0 {
-			json.NewEncoder(w).Encode(p)
+		list := d.listSince(since)
+		if since == 0 || len(list.Servers) > 0 || wait == 0 {
+			json.NewEncoder(w).Encode(list)
 			return
 		}
 		select {
-		case <-silent:
+		case <-silenced:
 			<-r.Context().Done()
 			return
-		case <-news:
-		case <-end:
+		case <-updated:
+		case <-timeout:
 			wait = 0
 		case <-r.Context().Done():
 			return
--- a/internal/loopback/endings_test.go
+++ b/internal/loopback/endings_test.go
@@ -12,7 +12,7 @@
 	"gorsewell/internal/emulator"
 )
 
-// program builds the gateway.
+// buildGateway builds the gateway's binary and returns its path.
 func buildGateway(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "gorsewell")
@@ -22,16 +22,18 @@
 	return path
 }
 
-// Several processes before the same servers, and a fault between them. The rules are checked by the servers and clients.
+// Guards against gateway processes that break a rule, answer with an error or fail to restart while servers drain,
+// gateways restart or watches fall silent. The stand-in servers and the clients check the rules.
 func TestRulesHoldDuringDrainsAndRestarts(t *testing.T) {
-	gateway := buildGateway(t)
-	for name, c := range map[string]struct {
+	program := buildGateway(t)
+	for name, test := range map[string]struct {
 		change func(w *emulator.World)
 		faults []emulator.Fault
-		holds  func(t *testing.T, res *Result)
+		check  func(t *testing.T, res *Result)
 	}{
-		// Connections take longer to come up than a drain may be overlooked for, and few are kept.
-		"a server drains while many dial it": {
+		// A connection takes longer to set up than the grace after the start of a drain, and idle connections are closed
+		// soon, so many dials are in progress when the drain starts.
+		"servers drain during many dials": {
 			change: func(w *emulator.World) {
 				w.Length, w.Gateways.Count, w.Load.PerSecond = 5*time.Second, 20, 150
 				w.Servers.Handshake, w.Servers.ConnectFor, w.Servers.Idle = 700*time.Millisecond, 2*time.Second, 60*time.Millisecond
@@ -41,48 +43,48 @@
 			},
 			faults: []emulator.Fault{{Kind: "drain", At: 2 * time.Second, For: 2500 * time.Millisecond, Share: 0.5}},
 		},
-		"seven in ten are killed with ops in flight": {
+		"70 percent of gateways are killed with ops in flight": {
 			change: func(w *emulator.World) { w.Length, w.Gateways.Count = 4*time.Second, 10 },
 			faults: []emulator.Fault{{Kind: "gateway_crash", At: time.Second, Share: 0.7, Back: 200 * time.Millisecond}},
-			holds: func(t *testing.T, res *Result) {
+			check: func(t *testing.T, res *Result) {
 				if len(res.Ready) != 7 || res.Lost+res.Crossed == 0 {
-					t.Errorf("%d were started again, %d tries were cut off", len(res.Ready), res.Lost+res.Crossed)
+					t.Errorf("gateways restarted: got %d, want 7; attempts cut off: got %d, want more than 0", len(res.Ready), res.Lost+res.Crossed)
 				}
 			},
 		},
-		"seven in ten are stopped by plan with ops in flight": {
+		"70 percent of gateways have a planned stop with ops in flight": {
 			change: func(w *emulator.World) {
 				w.Length, w.Gateways.Count, w.Clients.Patience = 5*time.Second, 10, 1
 				w.Load.PerSecond, w.OpTypes[0].Timeout, w.OpTypes[2].Timeout = 50, 2*time.Second, 2*time.Second
-				for i := range w.OpTypes { // still under way when connections begin to be closed
+				for i := range w.OpTypes { // ops are still in progress when the gateways start to close connections
 					w.OpTypes[i].Work, w.OpTypes[i].Vary, w.OpTypes[i].Target = 450*time.Millisecond, 0.3, 1500*time.Millisecond
 				}
 			},
 			faults: []emulator.Fault{{Kind: "gateway_roll", At: time.Second, Share: 0.7, Back: 200 * time.Millisecond}},
-			holds: func(t *testing.T, res *Result) {
+			check: func(t *testing.T, res *Result) {
 				if len(res.Ready) != 7 || res.Lost != 0 {
-					t.Errorf("%d were started again, %d tries were cut off", len(res.Ready), res.Lost)
+					t.Errorf("gateways restarted: got %d, want 7; attempts cut off: got %d, want 0", len(res.Ready), res.Lost)
 				}
-				stopped, left := 0, int64(0)
-				for _, last := range res.Gateways {
-					lives := strings.Split(strings.TrimSpace(last), "\n")
-					stopped += len(lives)
-					for _, life := range lives {
+				stopped, lostClients := 0, int64(0)
+				for _, log := range res.Gateways {
+					runs := strings.Split(strings.TrimSpace(log), "\n")
+					stopped += len(runs)
+					for _, run := range runs {
 						var n int64
-						_, rest, _ := strings.Cut(life, " left=")
+						_, rest, _ := strings.Cut(run, " left=")
 						fmt.Sscan(rest, &n)
-						left += n
-						if !strings.Contains(life, " held=0 ") || !strings.Contains(life, "assertions_broken=0") {
-							t.Error(life)
+						lostClients += n
+						if !strings.Contains(run, " held=0 ") || !strings.Contains(run, "assertions_broken=0") {
+							t.Error(run)
 						}
 					}
 				}
-				if stopped != 17 || left > res.TimedOut {
-					t.Errorf("%d ended by themselves; they lost %d clients, %d of whom left by themselves", stopped, left, res.TimedOut)
+				if stopped != 17 || lostClients > res.TimedOut {
+					t.Errorf("processes that logged their stop: got %d, want 17; clients that left: got %d, want at most the %d that timed out", stopped, lostClients, res.TimedOut)
 				}
 			},
 		},
-		"every watch falls silent before servers drain": {
+		"all watches fall silent before servers drain": {
 			change: func(w *emulator.World) { w.Length, w.Gateways.Count = 9*time.Second, 6 },
 			faults: []emulator.Fault{{Kind: "list_silent", At: 500 * time.Millisecond},
 				{Kind: "drain", At: 600 * time.Millisecond, Share: 0.34}},
@@ -92,16 +94,16 @@
 			t.Parallel()
 			w := emulator.Default()
 			w.Load.PerSecond, w.List.Within = 90, 10*time.Second
-			c.change(&w)
-			res, err := Play(context.Background(), Day{World: w, Seed: 5, Program: gateway, Faults: c.faults})
+			test.change(&w)
+			res, err := Play(context.Background(), Day{World: w, Seed: 5, Program: program, Faults: test.faults})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if res.RulesBroken() > 0 || res.Garbled > 0 {
-				t.Errorf("rules broken %v: %q", res.Broken, res.Stories)
+				t.Errorf("violations by rule: got %v, want none: %q", res.Broken, res.Stories)
 			}
 			if res.Service() < 0.3 || res.Sends < 100 {
-				t.Errorf("service %.2f, %d sends: the day shows nothing", res.Service(), res.Sends)
+				t.Errorf("got service %.2f and %d sends, want at least 0.3 and 100 for a meaningful run", res.Service(), res.Sends)
 			}
 			for _, e := range res.Events {
 				if strings.Contains(e.What, "does not start again") || strings.Contains(e.What, "is killed") {
@@ -110,13 +112,13 @@
 			}
 			for _, took := range res.Ready {
 				if took > 10*time.Second {
-					t.Errorf("ready after %v", took)
+					t.Errorf("startup time: got %v, want at most 10s", took)
 				}
 			}
-			if c.holds != nil {
-				c.holds(t, res)
+			if test.check != nil {
+				test.check(t, res)
 			}
-			t.Logf("service %.2f, %d sends, %d tries cut off, ready after %v", res.Service(), res.Sends, res.Lost, res.Ready)
+			t.Logf("service %.2f, %d sends, %d attempts cut off, startup times %v", res.Service(), res.Sends, res.Lost, res.Ready)
 		})
 	}
 }
--- a/internal/loopback/fleet.go
+++ b/internal/loopback/fleet.go
@@ -1,6 +1,7 @@
-// Package loopback plays a deployment on sockets of 127.0.0.0/8: stand-in servers with queues, cores, a log that replicas
-// apply and failover, a list service, clients that ask with intended start times, and gateways, each a process of its own. It
-// takes the same description of a world as the emulator, so that a day can be played in both and compared.
+// Package loopback runs a deployment on sockets of 127.0.0.0/8: stand-in database servers with queues, cores, a replicated
+// log and failover, a stand-in discovery service, clients that send ops at times drawn beforehand, and gateways, each a
+// process of its own. It takes the same description of a world as the emulator, so that both can run it and their results
+// can be compared.
 package loopback
 
 import (
@@ -16,41 +17,42 @@
 	"gorsewell/internal/pgwire"
 )
 
-// fleet is the servers of a world.
+// fleet holds the stand-in servers of a world.
 type fleet struct {
 	world     *emulator.World
 	seed      uint64
 	checker   *checker
 	discovery *discovery
 
-	mu      sync.Mutex // guards all below and in the servers; held for moments only
+	mu      sync.Mutex // guards all fields below and the state of the servers and groups; only held briefly
 	servers []*server
 	groups  []*group
 	closed  bool
-	running sync.WaitGroup
+	running sync.WaitGroup // accept loops and connections
 }
 
+// group is a primary and its replicas.
 type group struct {
 	fleet         *fleet
 	members       []*server
-	primary       *server
-	primaryLostAt int64 // Unix milliseconds
-	term          int
+	primary       *server // nil during an election
+	primaryLostAt int64   // time at which the last primary was lost, Unix milliseconds
+	term          int     // incremented by each election and when the process of the primary starts again
 	tokens        map[string]*token
 }
 
-// token is what a group remembers of a tokened op.
+// token is a group's record of a tokened op.
 type token struct {
-	lastSeen, at time.Time
-	committed    bool
-	position     int64
-	pending      int
+	lastSeen  time.Time
+	committed bool
+	position  int64 // of the commit
+	pending   int   // jobs with this token that are queued or running
 }
 
 // server is one stand-in database server.
 type server struct {
 	fleet *fleet
-	num   int
+	num   int // from 1
 	group *group
 	zone  int
 	addr  string
@@ -58,58 +60,59 @@
 	cores int
 
 	listener      net.Listener // nil while it is down
-	generation    int
+	generation    int          // number of ended processes; work of an earlier generation is discarded
 	conns         map[net.Conn]struct{}
-	started       time.Time // zero: long ago
+	started       time.Time // zero if it has run for so long that it is not cold
 	draining      bool
 	hung          bool
-	refusing      bool
-	slowdown      float64
-	errorShare    float64
-	applySlowdown float64
+	refusing      bool    // it answers every op with SQLSTATE 53300
+	slowdown      float64 // factor on all work; 1 without a fault
+	errorShare    float64 // fraction of ops that fail after their work
+	applySlowdown float64 // factor on the time that the log takes to apply; 1 without a fault
 
-	busy      int
+	busy      int // cores in use
 	queue     []*job
-	suspended []func()
-	backlog   []int64
-	applied   int64
+	suspended []func() // what to do once the server no longer hangs
+	backlog   []int64  // positions of commits that have arrived but are not applied
+	applied   int64    // position of the last applied commit
 	applying  bool
 }
 
 // job is one query at a server.
 type job struct {
 	server      *server
-	generation  int
+	generation  int // of the server when the query arrived
 	id          string
-	op          uint64 // the client's request
-	attempt     int
+	op          uint64 // number of the client's op
+	attempt     int    // number of the client's attempt
 	opType      *emulator.OpType
 	write       bool
-	minPosition int64 // position to see, Unix milliseconds; 0: any
+	minPosition int64 // position that a read must see, Unix milliseconds; 0 if any
 	token       *token
 	tokenKey    string
 	sentAt      time.Time
 	done        chan answer
 }
 
-// answer is what a server says; code is empty for a value.
+// answer is a server's answer to a query.
 type answer struct {
-	code     string
+	code     string // SQLSTATE; empty for a value
 	value    string
 	role     string
-	position int64
-	reset    bool
+	position int64 // of the server, or of the commit for a write with a token
+	reset    bool  // the connection ends without an answer
 }
 
-func newFleet(w *emulator.World, seed uint64, check *checker) (*fleet, error) {
-	f := &fleet{world: w, seed: seed, checker: check}
+// newFleet starts all servers and fills the list.
+func newFleet(w *emulator.World, seed uint64, checker *checker) (*fleet, error) {
+	f := &fleet{world: w, seed: seed, checker: checker}
 	f.discovery = newDiscovery(f)
 	for i := range w.Servers.Groups {
 		g := &group{fleet: f, tokens: map[string]*token{}}
 		f.groups = append(f.groups, g)
 		for j := range w.Servers.Members {
-			k := w.Servers.Kinds[i%len(w.Servers.Kinds)]
-			s := &server{fleet: f, num: len(f.servers) + 1, group: g, zone: (i + j) % w.Zones, cores: k.Cores, speed: k.Speed, slowdown: 1, applySlowdown: 1,
+			kind := w.Servers.Kinds[i%len(w.Servers.Kinds)]
+			s := &server{fleet: f, num: len(f.servers) + 1, group: g, zone: (i + j) % w.Zones, cores: kind.Cores, speed: kind.Speed, slowdown: 1, applySlowdown: 1,
 				conns: map[net.Conn]struct{}{}, applied: time.Now().UnixMilli()}
 			f.servers = append(f.servers, s)
 			g.members = append(g.members, s)
@@ -123,6 +126,7 @@
 	return f, nil
 }
 
+// close ends all servers and waits for their connections.
 func (f *fleet) close() error {
 	f.mu.Lock()
 	f.closed = true
@@ -134,39 +138,39 @@
 	return nil
 }
 
-// listen takes connections at the server's own address. The lock is not needed before the day begins.
+// listen accepts connections at the server's own address. The caller holds the lock, except while the fleet is set up.
 func (s *server) listen() error {
-	at := s.addr
-	if at == "" {
-		at = fmt.Sprintf("127.%d.%d.%d:0", 10+s.num>>16&0x7f, s.num>>8&0xff, s.num&0xff)
+	addr := s.addr
+	if addr == "" {
+		addr = fmt.Sprintf("127.%d.%d.%d:0", 10+s.num>>16&0x7f, s.num>>8&0xff, s.num&0xff)
 	}
-	l, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	s.addr, s.listener = l.Addr().String(), l
-	life := s.generation
+	s.addr, s.listener = listener.Addr().String(), listener
+	generation := s.generation
 	s.fleet.running.Go(func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			s.fleet.mu.Lock()
-			fits := s.generation == life && !s.fleet.closed && (s.fleet.world.Servers.Conns == 0 || len(s.conns) < s.fleet.world.Servers.Conns)
-			if fits {
-				s.conns[c] = struct{}{}
+			accepted := s.generation == generation && !s.fleet.closed && (s.fleet.world.Servers.Conns == 0 || len(s.conns) < s.fleet.world.Servers.Conns)
+			if accepted {
+				s.conns[conn] = struct{}{}
 			}
 			s.fleet.mu.Unlock()
-			if !fits {
-				c.Close()
+			if !accepted {
+				conn.Close()
 				continue
 			}
 			s.fleet.running.Go(func() {
-				s.serve(c, life)
-				c.Close()
+				s.serve(conn, generation)
+				conn.Close()
 				s.fleet.mu.Lock()
-				delete(s.conns, c)
+				delete(s.conns, conn)
 				s.fleet.mu.Unlock()
 			})
 		}
@@ -174,7 +178,7 @@
 	return nil
 }
 
-// down ends the process: connections are reset, new ones refused. The lock is held.
+// shutDown simulates the end of the process: connections are reset and new ones refused. The caller holds the lock.
 func (s *server) shutDown() {
 	if s.listener == nil {
 		return
@@ -192,57 +196,57 @@
 	}
 }
 
-// serve answers one connection.
-func (s *server) serve(c net.Conn, life int) {
-	var w pgwire.ReadBuffer
+// serve handles one connection.
+func (s *server) serve(conn net.Conn, generation int) {
+	var buffer pgwire.ReadBuffer
 	read := func() bool {
-		n, err := c.Read(w.Space())
-		w.Filled(n)
+		n, err := conn.Read(buffer.Space())
+		buffer.Filled(n)
 		return err == nil || n > 0
 	}
 	for size := 0; size == 0; {
 		var err error
-		if _, size, err = pgwire.ParseStartup(w.Bytes()); err != nil || size == 0 && !read() {
+		if _, size, err = pgwire.ParseStartup(buffer.Bytes()); err != nil || size == 0 && !read() {
 			return
 		}
-		w.Discard(size)
+		buffer.Discard(size)
 	}
-	if s.waitWhileHung(life) {
+	if s.waitWhileHung(generation) {
 		return
 	}
 	s.fleet.mu.Lock()
 	handshake := time.Duration(float64(s.fleet.world.Servers.Handshake) / s.currentSpeed())
 	s.fleet.mu.Unlock()
-	time.Sleep(handshake) // what a new connection costs
-	if _, err := c.Write(pgwire.AppendStartupReply(nil)); err != nil {
+	time.Sleep(handshake) // the cost of answer new connection
+	if _, err := conn.Write(pgwire.AppendStartupReply(nil)); err != nil {
 		return
 	}
 	for {
-		m, ok, err := w.Next()
+		message, ok, err := buffer.Next()
 		switch {
 		case err != nil || !ok && !read():
 			return
 		case !ok:
 			continue
-		case m.Type != pgwire.Query:
+		case message.Type != pgwire.Query:
 			return
 		}
-		text := string(m.Body[:len(m.Body)-1])
-		a := s.query(text, life)
-		if a.reset {
+		text := string(message.Body[:len(message.Body)-1])
+		answer := s.query(text, generation)
+		if answer.reset {
 			return
 		}
-		if _, err := c.Write(a.encode()); err != nil {
+		if _, err := conn.Write(answer.encode()); err != nil {
 			return
 		}
 	}
 }
 
-// waitWhileHung waits until the server goes on; true if it ended instead.
-func (s *server) waitWhileHung(life int) bool {
+// waitWhileHung waits until the server no longer hangs. The result is true if the process has ended instead.
+func (s *server) waitWhileHung(generation int) bool {
 	for {
 		s.fleet.mu.Lock()
-		hung, ended := s.hung, s.generation != life
+		hung, ended := s.hung, s.generation != generation
 		s.fleet.mu.Unlock()
 		if ended || !hung {
 			return ended
@@ -251,7 +255,7 @@
 	}
 }
 
-// bytes is the answer on the wire.
+// encode returns the messages of the answer on the wire.
 func (a answer) encode() []byte {
 	var b []byte
 	if a.code != "" {
@@ -270,29 +274,29 @@
 	return pgwire.AppendReady(b)
 }
 
-// fields reads the comment of a statement.
+// parseComment returns the fields in the comment of a statement, or nil if it has no comment.
 func parseComment(text string) map[string]string {
 	_, rest, ok := strings.Cut(text, "/*")
 	body, _, ok2 := strings.Cut(rest, "*/")
 	if !ok || !ok2 {
 		return nil
 	}
-	all := map[string]string{}
+	fields := map[string]string{}
 	for part := range strings.SplitSeq(body, ",") {
 		if name, value, ok := strings.Cut(strings.TrimSpace(part), "="); ok {
-			all[name] = value
+			fields[name] = value
 		}
 	}
-	return all
+	return fields
 }
 
-// query takes one query and waits for its answer.
-func (s *server) query(text string, life int) answer {
+// query handles one query and waits for its answer.
+func (s *server) query(text string, generation int) answer {
 	switch text {
 	case "":
 		return answer{code: "00000"}
 	case "SHOW load":
-		if s.waitProbeWhileHung(life) {
+		if s.waitProbeWhileHung(generation) {
 			return answer{reset: true}
 		}
 		s.fleet.mu.Lock()
@@ -303,16 +307,16 @@
 		}
 		return answer{value: fmt.Sprintf("x0=%.3f,x1=%d", float64(s.position())/1000, role)}
 	}
-	v := parseComment(text)
-	id := v["id"]
+	fields := parseComment(text)
+	id := fields["id"]
 	var op uint64
-	var try int
-	if _, err := fmt.Sscanf(id, "%x.%d", &op, &try); err != nil {
+	var attempt int
+	if _, err := fmt.Sscanf(id, "%x.%d", &op, &attempt); err != nil {
 		return answer{code: "08P01"}
 	}
-	j := &job{server: s, generation: life, id: id, op: op, attempt: try, tokenKey: v["k"], sentAt: time.Now(), done: make(chan answer, 1)}
+	j := &job{server: s, generation: generation, id: id, op: op, attempt: attempt, tokenKey: fields["k"], sentAt: time.Now(), done: make(chan answer, 1)}
 	for i := range s.fleet.world.OpTypes {
-		if t := &s.fleet.world.OpTypes[i]; t.Name == v["c"] {
+		if t := &s.fleet.world.OpTypes[i]; t.Name == fields["c"] {
 			j.opType = t
 		}
 	}
@@ -322,7 +326,7 @@
 	j.write = j.opType.Need == "write"
 	switch j.opType.Need {
 	case "session":
-		j.minPosition, _ = strconv.ParseInt(v["after"], 10, 64)
+		j.minPosition, _ = strconv.ParseInt(fields["after"], 10, 64)
 	case "bounded":
 		j.minPosition = j.sentAt.Add(-j.opType.Bound).UnixMilli()
 	}
@@ -335,15 +339,16 @@
 	return a
 }
 
-// waitWhileHungProbe is for probes: a server that hangs may still answer them.
-func (s *server) waitProbeWhileHung(life int) bool {
+// waitProbeWhileHung is waitWhileHung for probes, which a hung server may still answer.
+func (s *server) waitProbeWhileHung(generation int) bool {
 	if s.fleet.world.Reports.OnHung {
 		return false
 	}
-	return s.waitWhileHung(life)
+	return s.waitWhileHung(generation)
 }
 
-// ramp and pace are as in the emulator. The lock is held.
+// warmUpFactor returns the fraction of its full speed that a cold server has reached, as in the emulator. The caller
+// holds the lock.
 func (s *server) warmUpFactor() float64 {
 	if s.started.IsZero() {
 		return 1
@@ -352,25 +357,26 @@
 	return min(1, c.ColdFrom+(1-c.ColdFrom)*float64(time.Since(s.started))/float64(max(1, c.ColdTime)))
 }
 
+// currentSpeed returns the speed at which the server works now, as in the emulator. The caller holds the lock.
 func (s *server) currentSpeed() float64 { return s.speed * s.warmUpFactor() / s.slowdown }
 
-// position is how far the server's data reach. The lock is held.
+// position returns the position in the log that the server's data have reached. The caller holds the lock.
 func (s *server) position() int64 {
 	now := time.Now().UnixMilli()
-	ship := s.fleet.world.Log.Ship.Milliseconds()
-	p := s.group.primary
+	shipTime := s.fleet.world.Log.Ship.Milliseconds()
+	primary := s.group.primary
 	switch {
-	case p == s:
+	case primary == s:
 		return now
 	case len(s.backlog) > 0:
 		return max(s.applied, s.backlog[0]-1)
-	case p != nil && p.listener != nil && !p.hung:
-		return max(s.applied, now-ship)
+	case primary != nil && primary.listener != nil && !primary.hung:
+		return max(s.applied, now-shipTime)
 	}
-	return max(s.applied, s.group.primaryLostAt-ship)
+	return max(s.applied, s.group.primaryLostAt-shipTime)
 }
 
-// arrive takes a job whose last byte has come. The lock is held.
+// admit accepts or rejects a job that has arrived in full. The caller holds the lock.
 func (s *server) admit(j *job) {
 	switch {
 	case s.generation != j.generation:
@@ -391,19 +397,19 @@
 	}
 }
 
-// comes notes that a tokened op has come in. The lock is held.
+// trackToken records a job of a tokened write under its token. The caller holds the lock.
 func (g *group) trackToken(j *job) {
 	if !j.write || j.opType.Effect != "tokened" || j.tokenKey == "" {
 		return
 	}
-	k := g.tokens[j.tokenKey]
-	if k == nil || k.pending == 0 && time.Since(k.lastSeen) > j.opType.Window {
-		k = &token{}
-		g.tokens[j.tokenKey] = k
+	t := g.tokens[j.tokenKey]
+	if t == nil || t.pending == 0 && time.Since(t.lastSeen) > j.opType.Window {
+		t = &token{}
+		g.tokens[j.tokenKey] = t
 	}
-	k.lastSeen = time.Now()
-	k.pending++
-	j.token = k
+	t.lastSeen = time.Now()
+	t.pending++
+	j.token = t
 	if len(g.tokens) > 4096 {
 		for key, old := range g.tokens {
 			if old.pending == 0 && time.Since(old.lastSeen) > 2*j.opType.Window {
@@ -413,7 +419,7 @@
 	}
 }
 
-// begin lets a job work, or wait for a core. The lock is held.
+// startWork starts the work of a job, or queues the job if no core is free. The caller holds the lock.
 func (s *server) startWork(j *job) {
 	if s.busy >= s.cores {
 		s.queue = append(s.queue, j)
@@ -429,7 +435,7 @@
 	})
 }
 
-// finish ends a job's work. The lock is held.
+// finishWork ends the work of a job, starts queued jobs and answers. The caller holds the lock.
 func (s *server) finishWork(j *job) {
 	switch {
 	case s.generation != j.generation:
@@ -455,12 +461,12 @@
 			return
 		}
 		if j.token == nil || !j.token.committed {
-			commit := time.Now().UnixMilli()
+			position := time.Now().UnixMilli()
 			if j.token != nil {
-				j.token.committed, j.token.position = true, commit
+				j.token.committed, j.token.position = true, position
 			}
 			s.fleet.checker.writeApplied(s, j)
-			s.group.replicate(commit)
+			s.group.replicate(position)
 		}
 	}
 	if failed {
@@ -470,7 +476,7 @@
 	s.reply(j, "")
 }
 
-// reply answers. The lock is held.
+// reply answers a job, with a value if the code is empty. The caller holds the lock.
 func (s *server) reply(j *job, code string) {
 	a := answer{code: code, role: "replica", position: s.position()}
 	if s.group.primary == s {
@@ -485,47 +491,47 @@
 	j.done <- a
 }
 
-// commit ships a write to the replicas. The lock is held.
-func (g *group) replicate(at int64) {
+// replicate ships a commit to the replicas. The caller holds the lock.
+func (g *group) replicate(position int64) {
 	for _, s := range g.members {
 		if s == g.primary || s.listener == nil {
 			continue
 		}
-		life := s.generation
+		generation := s.generation
 		time.AfterFunc(g.fleet.world.Log.Ship, func() {
 			g.fleet.mu.Lock()
 			defer g.fleet.mu.Unlock()
-			if s.generation == life && s.group.primary != s {
-				s.backlog = append(s.backlog, at)
+			if s.generation == generation && s.group.primary != s {
+				s.backlog = append(s.backlog, position)
 				s.applyNext()
 			}
 		})
 	}
 }
 
-// applies works on the next commit. The lock is held.
+// applyNext starts to apply the first commit of the backlog, if the server can. The caller holds the lock.
 func (s *server) applyNext() {
 	if s.applying || len(s.backlog) == 0 || s.hung || s.listener == nil || s.group.primary == s {
 		return
 	}
 	s.applying = true
-	life, commit := s.generation, s.backlog[0]
-	u := emulator.Chance(s.fleet.seed, 0x10f, uint64(s.num), uint64(commit))
-	work := time.Duration(float64(s.fleet.world.Log.Apply) * emulator.Exponential(u) * s.applySlowdown / s.currentSpeed())
+	generation, position := s.generation, s.backlog[0]
+	uniform := emulator.Chance(s.fleet.seed, 0x10f, uint64(s.num), uint64(position))
+	work := time.Duration(float64(s.fleet.world.Log.Apply) * emulator.Exponential(uniform) * s.applySlowdown / s.currentSpeed())
 	time.AfterFunc(work, func() {
 		s.fleet.mu.Lock()
 		defer s.fleet.mu.Unlock()
-		if s.generation != life || !s.applying {
+		if s.generation != generation || !s.applying {
 			return
 		}
 		s.applying = false
 		s.backlog = s.backlog[1:]
-		s.applied = max(s.applied, commit)
+		s.applied = max(s.applied, position)
 		s.applyNext()
 	})
 }
 
-// lost is called when a member is dead or hung. The lock is held.
+// memberLost starts a failover if a member that is dead or hung is the primary. The caller holds the lock.
 func (g *group) memberLost(s *server) {
 	if g.primary != s {
 		return
@@ -544,7 +550,8 @@
 	})
 }
 
-// elect makes the member that is furthest a primary, after a time. The lock is held.
+// elect makes the most advanced member the primary after a delay. If no member is eligible, it tries again. The caller
+// holds the lock.
 func (g *group) elect(after time.Duration) {
 	time.AfterFunc(after, func() {
 		g.fleet.mu.Lock()
@@ -569,7 +576,7 @@
 	})
 }
 
-// crash ends a server's process.
+// crash ends the server's process.
 func (s *server) crash() {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
@@ -578,7 +585,7 @@
 	s.fleet.discovery.publishAfter(s, s.fleet.world.List.Down)
 }
 
-// start brings it back, cold.
+// start starts the server's process again; the server is cold.
 func (s *server) start() error {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
@@ -591,7 +598,7 @@
 		s.group.primary = nil
 		s.group.elect(s.fleet.world.Failover.Elect)
 	}
-	s.applied = max(s.applied, time.Now().Add(-2*time.Second).UnixMilli()) // it catches up from what the others kept
+	s.applied = max(s.applied, time.Now().Add(-2*time.Second).UnixMilli()) // it catches up from the logs of the other members
 	if err := s.listen(); err != nil {
 		return err
 	}
@@ -599,7 +606,7 @@
 	return nil
 }
 
-// set changes what ails a server.
+// update changes the faults of the server, and acts on the start and the end of a hang.
 func (s *server) update(change func(s *server)) {
 	s.fleet.mu.Lock()
 	defer s.fleet.mu.Unlock()
@@ -609,10 +616,10 @@
 	case s.hung && !wasHung:
 		s.group.memberLost(s)
 	case wasHung && !s.hung:
-		stuck := s.suspended
+		suspended := s.suspended
 		s.suspended = nil
-		for _, do := range stuck {
-			do()
+		for _, resume := range suspended {
+			resume()
 		}
 		s.applyNext()
 	}
--- a/internal/loopback/liar.go
+++ b/internal/loopback/liar.go
@@ -17,29 +17,29 @@
 	"gorsewell/internal/gossip/keys"
 )
 
-// liar is an instance whose gossip lies: a member like any, on sockets of its own and with a certificate that counts, that
-// says what is not so five times in each telling round.
+// liar sends false gossip in the name of a gateway. It is a regular member with sockets of its own and a valid
+// certificate, and sends five datagrams with false rumours or claims in each gossip interval.
 type liar struct {
 	harness    *harness
 	carrier    *carrier.Carrier
 	clock      exchange.Clock
-	variant    string
+	variant    string // what the liar says: the field How of its fault
 	name       string
 	key        gossip.KeyID
 	rng        *rand.Rand
-	lastNumber uint32
-	counter    int
+	lastNumber uint32 // number of the last rumour
+	counter    int    // number of false statements so far
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
 }
 
-// nobody is the gateway of a liar: it does not listen.
+// noGateway takes the rumours that a liar's carrier accepts and discards them.
 type noGateway struct{}
 
 func (noGateway) Rumour(uint32, float64) {}
 
-// lie makes a liar of an instance for the rest of the day.
-func (r *harness) startLiar(p *gatewayProcess, how string) {
+// startLiar makes a gateway a liar for the rest of the run.
+func (r *harness) startLiar(p *gatewayProcess, variant string) {
 	name := fmt.Sprintf("g%04d", p.index)
 	base := filepath.Join(r.dir, name)
 	ring, err := keys.LoadKeyring(base+".crt", base+".key", []string{filepath.Join(r.dir, "day.authority")}, time.Now())
@@ -47,30 +47,32 @@
 		r.checker.event("liar %d: %v", p.index, err)
 		return
 	}
-	s := config.Default().Gossip
-	g := &r.World.Gossip
-	s.Cluster, s.Listen, s.Seeds = "day", p.gossipAddr, []string{r.gateways[0].gossipAddr, r.gateways[1].gossipAddr, r.gateways[2].gossipAddr}
-	s.ProbeEvery, s.ProbeTimeout, s.SuspectFor, s.TellEvery, s.SyncEvery, s.RumourLife = g.ProbeEvery, g.ProbeTimeout, g.SuspectFor, g.TellEvery, g.SyncEvery, g.RumourLife
-	l := &liar{harness: r, variant: how, name: name, key: ring.Certificate.KeyID(), rng: rand.New(rand.NewPCG(r.Seed, 0x11a4+uint64(p.index))), lastNumber: 1 << 20,
+	settings := config.Default().Gossip
+	gossipConfig := &r.World.Gossip
+	settings.Cluster, settings.Listen, settings.Seeds = "day", p.gossipAddr, []string{r.gateways[0].gossipAddr, r.gateways[1].gossipAddr, r.gateways[2].gossipAddr}
+	settings.ProbeEvery, settings.ProbeTimeout, settings.SuspectFor, settings.TellEvery, settings.SyncEvery, settings.RumourLife = gossipConfig.ProbeEvery, gossipConfig.ProbeTimeout, gossipConfig.SuspectFor, gossipConfig.TellEvery, gossipConfig.SyncEvery, gossipConfig.RumourLife
+	l := &liar{harness: r, variant: variant, name: name, key: ring.Certificate.KeyID(), rng: rand.New(rand.NewPCG(r.Seed, 0x11a4+uint64(p.index))), lastNumber: 1 << 20,
 		clock: exchange.StartClock()}
-	if l.carrier, err = carrier.New(s, name, ring, l.clock, noGateway{}, func(uint32) string { return "" }); err != nil {
+	if l.carrier, err = carrier.New(settings, name, ring, l.clock, noGateway{}, func(uint32) string { return "" }); err != nil {
 		r.checker.event("liar %d: %v", p.index, err)
 		return
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	l.cancel = stop
+	ctx, cancel := context.WithCancel(context.Background())
+	l.cancel = cancel
 	l.running.Go(func() { l.carrier.Run(ctx) })
-	l.running.Go(func() { l.run(ctx, s.TellEvery) })
+	l.running.Go(func() { l.run(ctx, settings.TellEvery) })
 	r.mu.Lock()
 	r.liars[p.index] = l
 	r.mu.Unlock()
 }
 
+// stop ends the liar and waits for its goroutines.
 func (l *liar) stop() {
 	l.cancel()
 	l.running.Wait()
 }
 
+// run sends false gossip at an interval until the context is cancelled.
 func (l *liar) run(ctx context.Context, every time.Duration) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
@@ -89,16 +91,18 @@
 	}
 }
 
-func (l *liar) newRumour(num int, what gossip.Symptom, ahead time.Duration) gossip.RelayedRumour {
+// newRumour returns a rumour of the liar about a server. Its creation time is ahead of the clock by the given time.
+func (l *liar) newRumour(serverNum int, symptom gossip.Symptom, ahead time.Duration) gossip.RelayedRumour {
 	l.lastNumber++
-	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.name, Key: l.key, Run: l.carrier.RunID(), Server: xxhash.Sum64String(fmt.Sprintf("s-%08x", num)),
-		Symptom: what, Strength: 255, Number: l.lastNumber, Made: l.clock.Now() + ahead}}
+	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.name, Key: l.key, Run: l.carrier.RunID(), Server: xxhash.Sum64String(fmt.Sprintf("s-%08x", serverNum)),
+		Symptom: symptom, Strength: 255, Number: l.lastNumber, Made: l.clock.Now() + ahead}}
 }
 
-// speak sends one datagram of lies to somebody. What it would have to sign for others it cannot say.
+// sendLies sends one datagram of false gossip to a random peer. The liar cannot send what another member must have
+// signed.
 func (l *liar) sendLies(peers []gossip.Peer) {
 	to := peers[l.rng.IntN(len(peers))]
-	m := &gossip.Message{Kind: gossip.Tell, Clock: l.clock.Now()}
+	message := &gossip.Message{Kind: gossip.Tell, Clock: l.clock.Now()}
 	servers := l.harness.fleet.servers
 	for range 7 {
 		l.counter++
@@ -106,24 +110,24 @@
 		switch l.variant {
 		case "primaries":
 			g := l.harness.fleet.groups[l.counter%len(l.harness.fleet.groups)]
-			m.Rumours = append(m.Rumours, l.newRumour(g.members[0].num, gossip.Unreachable, 0))
+			message.Rumours = append(message.Rumours, l.newRumour(g.members[0].num, gossip.Unreachable, 0))
 		case "accuse":
-			p := peers[l.rng.IntN(len(peers))]
-			m.Claims = append(m.Claims, gossip.Claim{Kind: gossip.Accused, Name: p.Name, Incarnation: 1 << 20, By: l.name, Key: l.key, Run: l.carrier.RunID(),
+			accused := peers[l.rng.IntN(len(peers))]
+			message.Claims = append(message.Claims, gossip.Claim{Kind: gossip.Accused, Name: accused.Name, Incarnation: 1 << 20, By: l.name, Key: l.key, Run: l.carrier.RunID(),
 				Clock: l.clock.Now()})
 		case "future":
-			m.Rumours = append(m.Rumours, l.newRumour(num, gossip.Silent, time.Duration(l.rng.IntN(3600))*time.Second))
+			message.Rumours = append(message.Rumours, l.newRumour(num, gossip.Silent, time.Duration(l.rng.IntN(3600))*time.Second))
 		case "contradict":
-			what := gossip.Silent
+			symptom := gossip.Silent
 			if l.counter/7%2 == 0 {
-				what = gossip.Well
+				symptom = gossip.Well
 			}
-			m.Rumours = append(m.Rumours, l.newRumour(num, what, 0))
+			message.Rumours = append(message.Rumours, l.newRumour(num, symptom, 0))
 		case "praise":
-			m.Rumours = append(m.Rumours, l.newRumour(num, gossip.Well, 0))
-		default: // all, and those lies that need others' signatures
-			m.Rumours = append(m.Rumours, l.newRumour(num, gossip.Silent, 0))
+			message.Rumours = append(message.Rumours, l.newRumour(num, gossip.Well, 0))
+		default: // all, and the variants that would need the signatures of other members
+			message.Rumours = append(message.Rumours, l.newRumour(num, gossip.Silent, 0))
 		}
 	}
-	l.carrier.Datagram(to.Addr, to.Key, m)
+	l.carrier.Datagram(to.Addr, to.Key, message)
 }
--- a/internal/loopback/mixed_test.go
+++ b/internal/loopback/mixed_test.go
@@ -10,22 +10,23 @@
 	"gorsewell/internal/emulator"
 )
 
-// The move's two shapes of deployment, before the same servers: even instances run in the old one.
-func changeSettings(index int, told map[string]any) (marks bool) {
+// changeSettings gives the gateways with an even index the settings before a migration, and those with an odd index the
+// settings after it. The result tells whether the clients of the gateway mark retries.
+func changeSettings(index int, settings map[string]any) (marksRetries bool) {
 	if index%2 == 0 {
-		told["clients"] = map[string]any{"marks_retry": true}
+		settings["clients"] = map[string]any{"marks_retry": true}
 		return true
 	}
-	told["registry_mode"] = "pushed"
-	told["clients"] = map[string]any{"marks_retry": false}
-	told["family_info"].(map[string]any)["tells_position"] = false
-	told["family_info"].(map[string]any)["checks"] = "await"
-	told["limits"].(map[string]any)["max_attempts"] = 6
-	delete(told["rules"].(map[string]any), "must_ask_in") // nothing binds an instance that is told by itself
+	settings["registry_mode"] = "pushed"
+	settings["clients"] = map[string]any{"marks_retry": false}
+	settings["family_info"].(map[string]any)["tells_position"] = false
+	settings["family_info"].(map[string]any)["checks"] = "await"
+	settings["limits"].(map[string]any)["max_attempts"] = 6
+	delete(settings["rules"].(map[string]any), "must_ask_in") // the setting only applies to lists on request
 	return false
 }
 
-// playMixed plays a day on which a primary dies and comes back cold, and a replica errs.
+// runMixed runs a scenario in which a primary crashes and restarts cold, and primaries answer with errors.
 func runMixed(t *testing.T, program string, shape func(int, map[string]any) bool) *Result {
 	t.Helper()
 	w := emulator.Default()
@@ -49,7 +50,7 @@
 	return res
 }
 
-// service is what instances of either shape earned of what their clients asked for.
+// serviceByShape returns the service of the clients of gateways with the old settings and with the new settings.
 func serviceByShape(res *Result) (byShape [2]float64) {
 	var value [2]float64
 	for i, h := range res.Homes {
@@ -62,51 +63,51 @@
 	return byShape
 }
 
-// starved tells whether instances of one shape earn much less than those of the other.
+// starved reports whether gateways with one kind of settings earn much less than the others.
 func starved(byShape [2]float64) bool {
 	return min(byShape[0], byShape[1]) < 0.75*max(byShape[0], byShape[1])
 }
 
-// Guards against a move on which instances of both shapes, before the same servers, break a rule or starve one another. The
-// two mutants show that the checks can fail: one shape that is told that its writes may run again, and one that is told of
-// latency targets that nothing can meet.
+// Guards against a migration during which gateways with old and new settings, which use the same servers, break a rule or
+// starve one another. Two cases with wrong settings show that the checks can fail: in one, half of the gateways take
+// writes for retryable; in the other, they have latency targets that nothing can meet.
 func TestInstancesWithDifferentSettingsKeepRulesAndShareLoad(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "gorsewell")
 	if out, err := exec.Command("go", "build", "-o", program, "gorsewell/cmd/gorsewell").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	for name, c := range map[string]struct {
-		wrong          func(told map[string]any)
+	for name, test := range map[string]struct {
+		spoil          func(settings map[string]any)
 		broken, starve bool
 	}{
-		"both as they are": {wrong: func(map[string]any) {}},
-		"writes may run again": {broken: true, wrong: func(told map[string]any) {
-			for _, class := range told["classes"].([]any) {
+		"old and new settings": {spoil: func(map[string]any) {}},
+		"new settings make writes retryable": {broken: true, spoil: func(settings map[string]any) {
+			for _, class := range settings["classes"].([]any) {
 				class.(map[string]any)["effect"] = "retryable"
 			}
 		}},
-		"targets of a millisecond": {starve: true, wrong: func(told map[string]any) {
-			for _, class := range told["classes"].([]any) {
+		"new settings have latency targets of 1 ms": {starve: true, spoil: func(settings map[string]any) {
+			for _, class := range settings["classes"].([]any) {
 				class.(map[string]any)["target"], class.(map[string]any)["late_value"] = int64(time.Millisecond), 0
 			}
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			res := runMixed(t, program, func(index int, told map[string]any) bool {
-				marks := changeSettings(index, told)
+			res := runMixed(t, program, func(index int, settings map[string]any) bool {
+				marksRetries := changeSettings(index, settings)
 				if index%2 == 1 {
-					c.wrong(told)
+					test.spoil(settings)
 				}
-				return marks
+				return marksRetries
 			})
 			byShape := serviceByShape(res)
-			t.Logf("service of the old shape %.3f, of the new %.3f; rules broken %v", byShape[0], byShape[1], res.Broken)
-			if broken := res.RulesBroken() > 0; broken != c.broken {
-				t.Errorf("rules broken: %v, want %v: %q", res.Broken, c.broken, res.Stories)
+			t.Logf("service with old settings %.3f, with new settings %.3f; violations by rule %v", byShape[0], byShape[1], res.Broken)
+			if broken := res.RulesBroken() > 0; broken != test.broken {
+				t.Errorf("violations by rule: got %v, want any: %v: %q", res.Broken, test.broken, res.Stories)
 			}
-			if starved(byShape) != c.starve {
-				t.Errorf("service of the old shape %.3f, of the new %.3f, one starved: want %v", byShape[0], byShape[1], c.starve)
+			if starved(byShape) != test.starve {
+				t.Errorf("got service %.3f with old settings and %.3f with new settings, want one starved: %v", byShape[0], byShape[1], test.starve)
 			}
 		})
 	}
--- a/internal/loopback/rig.go
+++ b/internal/loopback/rig.go
@@ -26,22 +26,22 @@
 	"gorsewell/internal/pgwire"
 )
 
-// Day is what is played on sockets.
+// Scenario describes a run on sockets.
 type Day struct {
 	World   emulator.World
 	Faults  []emulator.Fault
 	Gossip  bool
 	Seed    uint64
-	Program string        // the gateway's binary
-	Warm    time.Duration // that gateways run before the first op
-	Keep    string        // a folder for the gateways' logs; empty: none are kept
+	Program string        // path of the gateway's binary
+	Warm    time.Duration // time that the gateways run before the first op
+	Keep    string        // folder for the gateways' logs; none are kept if it is empty
 
-	// Shape, where it is not nil, changes what one instance is told of the deployment, and says whether its clients mark
-	// what they ask for again: during a move instances of two shapes run before the same servers.
-	Shape func(index int, told map[string]any) (marks bool)
+	// Shape, if not nil, changes the settings of one gateway and reports whether its clients mark retries as such. It
+	// simulates a migration, in which gateways with different settings use the same servers.
+	Shape func(index int, settings map[string]any) (marksRetries bool)
 }
 
-// marks tells whether the clients of an instance mark what they ask for again.
+// marksRetries reports whether the clients of a gateway mark retries as such.
 func (d *Day) marksRetries(index int) bool {
 	if d.Shape == nil {
 		return d.World.Clients.Marks
@@ -49,10 +49,10 @@
 	return d.Shape(index, deploymentSettings(&d.World))
 }
 
-// handedOut counts the addresses that were.
+// allocatedAddrs counts the addresses that freeAddr has returned.
 var allocatedAddrs atomic.Int64
 
-// rig is a day under way.
+// harness runs one scenario.
 type harness struct {
 	Day
 	dir           string
@@ -62,13 +62,13 @@
 	authority     *keys.Authority
 
 	mu         sync.Mutex
-	gateways   []*gatewayProcess
-	liars      map[int]*liar
-	closing    bool
+	gateways   []*gatewayProcess // by index
+	liars      map[int]*liar     // by index of the gateway
+	closing    bool              // stop has been called
 	logReaders sync.WaitGroup
 }
 
-// process is one gateway.
+// gatewayProcess is the process of one gateway. It may end and be started again.
 type gatewayProcess struct {
 	harness      *harness
 	index        int
@@ -77,20 +77,20 @@
 	env          []string
 	cmd          *exec.Cmd
 	downSince    time.Time // zero while it runs
-	counterLines string    // its last lines of counters
-	lastLine     string    // its last line
+	counterLines string    // log lines with counters
+	lastLine     string    // last log line
 	exited       chan struct{}
 }
 
-// Playable tells which faults can be played on sockets.
+// FaultKinds lists the kinds of faults that can be injected on sockets.
 var Playable = []string{"crash", "hang", "slow", "error", "refuse", "slow_apply", "drain", "list_silent", "gateway_crash", "gateway_roll",
 	"gateway_pause", "liar"}
 
-// Play plays a day. It takes as long as the day, and leaves nothing running.
+// Run runs a scenario. It takes as long as the scenario's world lasts and leaves nothing running.
 func Play(ctx context.Context, d Day) (*Result, error) {
 	for i, f := range d.Faults {
 		if !slices.Contains(Playable, f.Kind) {
-			return nil, fmt.Errorf("faults[%d]: %q cannot be played on sockets; %s can", i, f.Kind, strings.Join(Playable, ", "))
+			return nil, fmt.Errorf("faults[%d]: %q cannot be injected on sockets; expected one of %s", i, f.Kind, strings.Join(Playable, ", "))
 		}
 	}
 	dir, err := os.MkdirTemp("", "gorsewell-loopback-")
@@ -147,7 +147,7 @@
 	return res, nil
 }
 
-// settings is the deployment as gateways are told it.
+// deploymentSettings returns the settings of the deployment that the gateways get.
 func deploymentSettings(w *emulator.World) map[string]any {
 	var classes []any
 	var needs, bounds []any
@@ -164,9 +164,9 @@
 		bounds = append(bounds, bound)
 	}
 	checks := map[string]string{"none": "silent", "refuses": "bounce", "waits": "await"}[w.Reports.Checks]
-	marks := "kept"
+	writeMarks := "kept"
 	if w.Reports.Carried {
-		marks = "brought"
+		writeMarks = "brought"
 	}
 	report := map[string]any{"via": "none"}
 	if w.Reports.Probes {
@@ -177,17 +177,17 @@
 		mode = "on_request"
 	}
 	return map[string]any{"balancers": w.Gateways.Count, "round": int64(w.Gateways.Round), "registry_mode": mode, "classes": classes, "report": report,
-		"family_info": map[string]any{"needs_by_class": needs, "lag_allowed": bounds, "tells_position": w.Reports.Answers, "write_marks": marks, "checks": checks},
+		"family_info": map[string]any{"needs_by_class": needs, "lag_allowed": bounds, "tells_position": w.Reports.Answers, "write_marks": writeMarks, "checks": checks},
 		"limits": map[string]any{"connect_timeout": int64(w.Servers.ConnectFor), "keepalive": int64(w.Servers.Idle), "max_attempts": w.Gateways.MaxSends,
 			"may_cancel": w.Gateways.Cancels, "probing": w.Gateways.Probes, "retry_after": w.Gateways.ComeBack > 0, "max_retry_after": int64(w.Gateways.ComeBack)},
 		"rules": map[string]any{"must_ask_in": int64(w.List.Within), "cold_from": w.Servers.ColdFrom, "cold": int64(w.Servers.ColdTime),
 			"overload_factor": w.Rules.Overload, "fall": int64(w.Rules.FallTime), "only_draining_binds": w.Reports.GoneRuns}}
 }
 
-// free finds a port that nobody holds, for TCP and UDP.
+// freeAddr returns an address whose port is free for TCP and UDP.
 func freeAddr() (string, error) {
-	// An address of its own: the port is free while the process is down, and others on this machine, connections among them,
-	// take free ports of 127.0.0.1.
+	// Each call uses another address of 127.0.0.0/8: the port has to stay free while the process is down, and other
+	// processes, and outgoing connections, take free ports of 127.0.0.1.
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>8%64, os.Getpid()&255, 1+allocatedAddrs.Add(1)%250)
 	for range 20 {
 		l, err := net.Listen("tcp", host+":0")
@@ -205,7 +205,7 @@
 	return "", errors.New("no free port")
 }
 
-// startGateways starts the instances and waits until each takes ops.
+// startGateways starts the gateways and waits until each accepts ops.
 func (r *harness) startGateways() error {
 	var err error
 	if r.authority, err = keys.NewAuthority("day"); err != nil {
@@ -233,15 +233,15 @@
 		r.gateways = append(r.gateways, p)
 	}
 	for _, p := range r.gateways {
-		all := deploymentSettings(&r.World)
+		values := deploymentSettings(&r.World)
 		if r.Shape != nil {
-			r.Shape(p.index, all)
+			r.Shape(p.index, values)
 		}
-		told, err := json.Marshal(all)
+		settings, err := json.Marshal(values)
 		if err != nil {
 			return err
 		}
-		if err := p.writeFiles(known, told, seeds); err != nil {
+		if err := p.writeFiles(known, settings, seeds); err != nil {
 			return err
 		}
 		if err := p.start(); err != nil {
@@ -256,12 +256,12 @@
 	return nil
 }
 
-// write puts together what an instance is given.
-func (p *gatewayProcess) writeFiles(known, told []byte, seeds []string) error {
+// writeFiles writes the configuration files, key and certificate of the gateway and sets its environment.
+func (p *gatewayProcess) writeFiles(known, settings []byte, seeds []string) error {
 	name := fmt.Sprintf("g%04d", p.index)
 	base := filepath.Join(p.harness.dir, name)
 	text := fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":96,"sockets":1024},"known":%s,"settings":%s}`,
-		name, p.addr, p.harness.discoveryAddr, p.harness.Seed<<16|uint64(p.index), known, told)
+		name, p.addr, p.harness.discoveryAddr, p.harness.Seed<<16|uint64(p.index), known, settings)
 	if err := os.WriteFile(base+".json", text, 0o600); err != nil {
 		return err
 	}
@@ -284,7 +284,8 @@
 	return os.WriteFile(base+".yaml", []byte(yaml), 0o600)
 }
 
-// lies tells whether an instance is to lie: then its gossip is the rig's, and the gateway beside it has none.
+// isLiar reports whether a fault makes the gateway a liar. The harness then sends gossip in its name, and the process
+// runs without gossip.
 func (p *gatewayProcess) isLiar() bool { return slices.Contains(p.harness.liarIndexes(), p.index) }
 
 // start starts the process.
@@ -337,7 +338,7 @@
 	return nil
 }
 
-// ready waits until the gateway takes ops.
+// waitReady waits until the gateway accepts ops.
 func (p *gatewayProcess) waitReady() error {
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if c, err := net.DialTimeout("tcp", p.addr, time.Second); err == nil {
@@ -364,7 +365,8 @@
 	}
 }
 
-// front is the instance that the front would take: a client's own, or another once the front has noticed that it is dead.
+// pickGateway returns the index of the gateway to which a load balancer routes a client: the client's home gateway, or
+// the next one once the load balancer has detected that the home gateway is down.
 func (r *harness) pickGateway(home int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -378,7 +380,7 @@
 	return home
 }
 
-// kill ends an instance at once and starts it again after a while.
+// killAndRestart kills a gateway and starts it again after a delay.
 func (r *harness) killAndRestart(p *gatewayProcess, back time.Duration, stop <-chan struct{}) {
 	r.mu.Lock()
 	cmd := p.cmd
@@ -404,15 +406,17 @@
 	r.checker.gatewayReady(time.Since(began))
 }
 
-// What the platform does at a planned stop: the front goes on sending for a moment, and the kill comes so long after the longest
-// op timeout, or after three seconds where that is longer.
+// Times of a planned stop, as the platform does it.
 const (
-	frontDelay   = 300 * time.Millisecond
+	// frontDelay is how long the load balancer still routes clients to the gateway after the stop.
+	frontDelay = 300 * time.Millisecond
+	// maxDrainTime limits the time that a gateway has to end its ops; it has the longest op timeout if that is shorter.
 	maxDrainTime = 3 * time.Second
-	killMargin   = 700 * time.Millisecond
+	// killMargin is the time after that at which the process is killed.
+	killMargin = 700 * time.Millisecond
 )
 
-// roll stops an instance by plan and starts it again after a while.
+// stopAndRestart makes a planned stop of a gateway and starts it again after a delay.
 func (r *harness) stopAndRestart(p *gatewayProcess, back time.Duration, stop <-chan struct{}) {
 	longest := time.Duration(0)
 	for _, t := range r.World.OpTypes {
@@ -448,7 +452,7 @@
 	r.checker.gatewayReady(time.Since(began))
 }
 
-// stop ends all instances, by plan, and waits for them.
+// stop ends all gateways by SIGTERM and waits for them. Those that have not ended after 10 s are killed.
 func (r *harness) stop() {
 	r.mu.Lock()
 	already := r.closing
@@ -480,7 +484,7 @@
 	r.logReaders.Wait()
 }
 
-// targets draws what a fault strikes, in the emulator's way.
+// pickTargets draws the servers or gateways that a fault affects, as the emulator does.
 func (r *harness) pickTargets(f *emulator.Fault, rng *mathrand.Rand) (servers []*server, gateways []*gatewayProcess) {
 	amount := func(of int) int {
 		n := f.Count
@@ -497,42 +501,43 @@
 	}
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
-	var fit []*server
+	var candidates []*server
 	for _, s := range r.fleet.servers {
 		primary := s.group.primary == s
 		if s.listener == nil || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.groupIndex() != f.Group-1 || f.Of == "primaries" && !primary ||
 			f.Of == "replicas" && primary {
 			continue
 		}
-		fit = append(fit, s)
+		candidates = append(candidates, s)
 	}
-	if len(fit) > 0 {
-		for _, i := range rng.Perm(len(fit))[:amount(len(fit))] {
-			servers = append(servers, fit[i])
+	if len(candidates) > 0 {
+		for _, i := range rng.Perm(len(candidates))[:amount(len(candidates))] {
+			servers = append(servers, candidates[i])
 		}
 	}
 	return servers, nil
 }
 
-func (r *harness) faultRand(order int) *mathrand.Rand {
-	return mathrand.New(mathrand.NewPCG(r.Seed, 0xfa01+uint64(order)))
+// faultRand returns the random numbers of the fault with an index.
+func (r *harness) faultRand(index int) *mathrand.Rand {
+	return mathrand.New(mathrand.NewPCG(r.Seed, 0xfa01+uint64(index)))
 }
 
-// lying lists the instances that are to lie.
-func (r *harness) liarIndexes() (all []int) {
+// liarIndexes returns the indexes of the gateways that faults make liars.
+func (r *harness) liarIndexes() (indexes []int) {
 	for i := range r.Faults {
 		if f := &r.Faults[i]; f.Kind == "liar" {
 			_, gateways := r.pickTargets(f, r.faultRand(i))
 			for _, p := range gateways {
-				all = append(all, p.index)
+				indexes = append(indexes, p.index)
 			}
 		}
 	}
-	return all
+	return indexes
 }
 
-// strike plays one fault.
-func (r *harness) injectFault(f *emulator.Fault, order int, stop <-chan struct{}) {
+// injectFault injects one fault at its times until the run stops.
+func (r *harness) injectFault(f *emulator.Fault, index int, stop <-chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-time.After(d):
@@ -541,7 +546,7 @@
 			return false
 		}
 	}
-	rng := r.faultRand(order)
+	rng := r.faultRand(index)
 	if f.At > 0 && !wait(f.At) {
 		return
 	}
@@ -572,11 +577,11 @@
 				})
 			case "liar":
 				if r.Gossip {
-					how := f.How
-					if how == "" || how == "mixed" {
-						how = emulator.Lies[i%len(emulator.Lies)]
+					variant := f.How
+					if variant == "" || variant == "mixed" {
+						variant = emulator.Lies[i%len(emulator.Lies)]
 					}
-					r.startLiar(p, how)
+					r.startLiar(p, variant)
 				}
 			}
 		}
@@ -597,17 +602,17 @@
 	}
 }
 
-// ail begins or ends what ails a server.
-func (r *harness) setServerFault(kind string, s *server, size float64, begins bool) {
+// setServerFault starts or ends a fault of a server.
+func (r *harness) setServerFault(kind string, s *server, severity float64, start bool) {
 	switch kind {
 	case "crash":
-		if begins {
+		if start {
 			s.crash()
 		} else if err := s.start(); err != nil {
 			r.checker.event("server %d does not start again: %v", s.num, err)
 		}
-	case "drain": // its process ends at the fault's end and is back, cold
-		if begins {
+	case "drain": // the process restarts when the fault ends, and is cold then
+		if start {
 			s.update(func(s *server) { s.draining = true })
 			r.fleet.discovery.publishAfter(s, 0)
 		} else {
@@ -617,18 +622,19 @@
 			}
 		}
 	case "hang":
-		s.update(func(s *server) { s.hung = begins && s.listener != nil })
+		s.update(func(s *server) { s.hung = start && s.listener != nil })
 	case "slow":
-		s.update(func(s *server) { s.slowdown = 1 + (size-1)*boolToFloat(begins) })
+		s.update(func(s *server) { s.slowdown = 1 + (severity-1)*boolToFloat(start) })
 	case "error":
-		s.update(func(s *server) { s.errorShare = size * boolToFloat(begins) })
+		s.update(func(s *server) { s.errorShare = severity * boolToFloat(start) })
 	case "refuse":
-		s.update(func(s *server) { s.refusing = begins })
+		s.update(func(s *server) { s.refusing = start })
 	case "slow_apply":
-		s.update(func(s *server) { s.applySlowdown = 1 + (size-1)*boolToFloat(begins) })
+		s.update(func(s *server) { s.applySlowdown = 1 + (severity-1)*boolToFloat(start) })
 	}
 }
 
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(b bool) float64 {
 	if b {
 		return 1
