--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -14,15 +14,16 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// colours are told apart by people who see few of them, too.
+// colours is a palette whose colours people with colour blindness can tell apart too.
 var colours = []color.Color{
 	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff},
 	color.RGBA{0x56, 0xb4, 0xe9, 0xff}, color.RGBA{0xe6, 0x9f, 0x00, 0xff}, color.RGBA{0x00, 0x00, 0x00, 0xff}, color.RGBA{0x99, 0x99, 0x99, 0xff},
 }
 
+// colour returns the colour of the series with an index.
 func colour(i int) color.Color { return colours[i%len(colours)] }
 
-// draw draws one chart, as SVG.
+// drawChart writes one chart to a folder as SVG.
 func (r *Result) drawChart(c *Chart, dir string) error {
 	arms := c.Arms
 	if len(arms) == 0 {
@@ -57,12 +58,13 @@
 	return p.Save(width, height, filepath.Join(dir, c.Name+".svg"))
 }
 
-// spread are points with their intervals.
+// pointsWithErrors holds points with their confidence intervals.
 type pointsWithErrors struct {
 	plotter.XYs
 	plotter.YErrors
 }
 
+// armLabel returns the label of an arm, or its name if the experiment file is not at hand.
 func (r *Result) armLabel(arm string) string {
 	if r.source != nil {
 		return r.source.Arm(arm).Label
@@ -70,53 +72,54 @@
 	return arm
 }
 
-// bars draws a metric by arm, each with its interval. The axis begins where differences can be seen, and says so.
+// drawBars draws a bar with a confidence interval for each arm. If the values differ little, the axis does not begin at
+// 0, and its label says so.
 func (r *Result) drawBars(p *plot.Plot, arms []string, metric string) error {
 	var names []string
-	s := pointsWithErrors{}
+	points := pointsWithErrors{}
 	low, high := math.Inf(1), math.Inf(-1)
 	for i, arm := range arms {
-		f, ok := r.Arms[arm][metric]
+		estimate, ok := r.Arms[arm][metric]
 		if !ok {
-			return fmt.Errorf("arm %s has no %s", arm, metric)
+			return fmt.Errorf("arm %s has no value of metric %s", arm, metric)
 		}
 		names = append(names, r.armLabel(arm))
-		s.XYs = append(s.XYs, plotter.XY{X: float64(i), Y: f.Mean})
-		s.YErrors = append(s.YErrors, struct{ Low, High float64 }{f.Mean - f.Low, f.High - f.Mean})
-		low, high = min(low, f.Low), max(high, f.High)
+		points.XYs = append(points.XYs, plotter.XY{X: float64(i), Y: estimate.Mean})
+		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{estimate.Mean - estimate.Low, estimate.High - estimate.Mean})
+		low, high = min(low, estimate.Low), max(high, estimate.High)
 	}
-	from := 0.0
+	axisStart := 0.0
 	if low > 0 && low > 0.6*high {
-		from = low - 0.35*(high-low+0.002*high)
+		axisStart = low - 0.35*(high-low+0.002*high)
 		p.Y.Label.Text += " (axis does not begin at 0)"
 	}
-	for i, xy := range s.XYs {
-		box, err := plotter.NewPolygon(plotter.XYs{{X: xy.X - 0.32, Y: from}, {X: xy.X + 0.32, Y: from}, {X: xy.X + 0.32, Y: xy.Y}, {X: xy.X - 0.32, Y: xy.Y}})
+	for i, xy := range points.XYs {
+		bar, err := plotter.NewPolygon(plotter.XYs{{X: xy.X - 0.32, Y: axisStart}, {X: xy.X + 0.32, Y: axisStart}, {X: xy.X + 0.32, Y: xy.Y}, {X: xy.X - 0.32, Y: xy.Y}})
 		if err != nil {
 			return err
 		}
-		box.Color, box.LineStyle.Width = colour(i), 0
-		p.Add(box)
+		bar.Color, bar.LineStyle.Width = colour(i), 0
+		p.Add(bar)
 	}
-	bars, err := plotter.NewYErrorBars(s)
+	errorBars, err := plotter.NewYErrorBars(points)
 	if err != nil {
 		return err
 	}
-	bars.LineStyle.Width, bars.CapWidth = vg.Points(1.2), vg.Points(8)
+	errorBars.LineStyle.Width, errorBars.CapWidth = vg.Points(1.2), vg.Points(8)
 	values := make([]string, len(arms))
-	for i := range s.XYs {
-		values[i] = strconv.FormatFloat(s.XYs[i].Y, 'f', decimals(metric), 64)
-		s.XYs[i].Y += s.YErrors[i].High + 0.02*(high-from)
+	for i := range points.XYs {
+		values[i] = strconv.FormatFloat(points.XYs[i].Y, 'f', decimals(metric), 64)
+		points.XYs[i].Y += points.YErrors[i].High + 0.02*(high-axisStart)
 	}
-	labels, err := plotter.NewLabels(plotter.XYLabels{XYs: s.XYs, Labels: values})
+	labels, err := plotter.NewLabels(plotter.XYLabels{XYs: points.XYs, Labels: values})
 	if err != nil {
 		return err
 	}
 	for i := range labels.TextStyle {
 		labels.TextStyle[i].XAlign = draw.XCenter
 	}
-	p.Add(bars, labels)
-	p.Y.Min, p.Y.Max = from, high+0.12*(high-from)
+	p.Add(errorBars, labels)
+	p.Y.Min, p.Y.Max = axisStart, high+0.12*(high-axisStart)
 	p.X.Min, p.X.Max = -0.6, float64(len(arms))-0.4
 	p.NominalX(names...)
 	if len(arms) > 6 {
@@ -126,16 +129,16 @@
 	return nil
 }
 
-// line draws a metric over the numbers that the arms' labels are. Arms whose names begin alike, up to the last dash, are
-// one line.
+// drawLines draws a metric over the numbers in the labels of the arms. Arms whose names are equal up to the last dash are
+// joined by one line.
 func (r *Result) drawLines(p *plot.Plot, arms []string, metric string) error {
 	lines := map[string]*pointsWithErrors{}
 	var names []string
 	for _, arm := range arms {
-		f, ok := r.Arms[arm][metric]
+		estimate, ok := r.Arms[arm][metric]
 		x, err := strconv.ParseFloat(r.armLabel(arm), 64)
 		if !ok || err != nil {
-			return fmt.Errorf("arm %s: %s over %q", arm, metric, r.armLabel(arm))
+			return fmt.Errorf("arm %s: expected a value of %s and a number as label, found label %q", arm, metric, r.armLabel(arm))
 		}
 		name := arm
 		for i := len(arm) - 1; i > 0; i-- {
@@ -148,23 +151,23 @@
 			lines[name] = &pointsWithErrors{}
 			names = append(names, name)
 		}
-		lines[name].XYs = append(lines[name].XYs, plotter.XY{X: x, Y: f.Mean})
-		lines[name].YErrors = append(lines[name].YErrors, struct{ Low, High float64 }{f.Mean - f.Low, f.High - f.Mean})
+		lines[name].XYs = append(lines[name].XYs, plotter.XY{X: x, Y: estimate.Mean})
+		lines[name].YErrors = append(lines[name].YErrors, struct{ Low, High float64 }{estimate.Mean - estimate.Low, estimate.High - estimate.Mean})
 	}
 	for i, name := range names {
 		s := lines[name]
-		l, points, err := plotter.NewLinePoints(s.XYs)
+		line, glyphs, err := plotter.NewLinePoints(s.XYs)
 		if err != nil {
 			return err
 		}
-		l.Color, l.Width, points.Color, points.Shape = colour(i), vg.Points(1.5), colour(i), draw.CircleGlyph{}
-		bars, err := plotter.NewYErrorBars(*s)
+		line.Color, line.Width, glyphs.Color, glyphs.Shape = colour(i), vg.Points(1.5), colour(i), draw.CircleGlyph{}
+		errorBars, err := plotter.NewYErrorBars(*s)
 		if err != nil {
 			return err
 		}
-		bars.Color = colour(i)
-		p.Add(l, points, bars)
-		p.Legend.Add(name, l, points)
+		errorBars.Color = colour(i)
+		p.Add(line, glyphs, errorBars)
+		p.Legend.Add(name, line, glyphs)
 	}
 	p.Y.Min = min(0, p.Y.Min)
 	p.Y.Max *= 1.15
@@ -172,7 +175,8 @@
 	return nil
 }
 
-// time draws service over the day, the mean of the seeds, in windows of a few seconds, with the faults' times marked.
+// drawTime draws the service of each arm over the time of a run, over all seeds together and in at most about 60 windows.
+// Dashed lines mark where the faults of the first arm start and end.
 func (r *Result) drawTime(p *plot.Plot, arms []string) error {
 	p.X.Label.Text = "seconds since the first op"
 	if p.Y.Label.Text == "" || p.Y.Label.Text == "service" {
@@ -183,35 +187,35 @@
 	for i, arm := range arms {
 		runs := r.runs[r.armIndex(arm)]
 		if len(runs) == 0 {
-			return fmt.Errorf("arm %s: its runs are not kept", arm)
+			return fmt.Errorf("arm %s: no stored runs found", arm)
 		}
 		var xys plotter.XYs
 		seconds = max(seconds, len(runs[0].Windows))
-		wide := max(1, len(runs[0].Windows)/60)
-		for at := 0; at < len(runs[0].Windows); at += wide {
+		width := max(1, len(runs[0].Windows)/60)
+		for at := 0; at < len(runs[0].Windows); at += width {
 			value, earned := 0.0, 0.0
 			for _, run := range runs {
-				for _, w := range run.Windows[at:min(at+wide, len(run.Windows))] {
+				for _, w := range run.Windows[at:min(at+width, len(run.Windows))] {
 					value, earned = value+w.Value, earned+w.Earned
 				}
 			}
 			if value > 0 {
-				xys = append(xys, plotter.XY{X: float64(at) + float64(wide)/2, Y: earned / value})
+				xys = append(xys, plotter.XY{X: float64(at) + float64(width)/2, Y: earned / value})
 				low = min(low, earned/value)
 			}
 		}
-		l, err := plotter.NewLine(xys)
+		line, err := plotter.NewLine(xys)
 		if err != nil {
 			return err
 		}
-		l.Color, l.Width = colour(i), vg.Points(1.6)
-		p.Add(l)
-		p.Legend.Add(r.armLabel(arm), l)
+		line.Color, line.Width = colour(i), vg.Points(1.6)
+		p.Add(line)
+		p.Legend.Add(r.armLabel(arm), line)
 	}
 	p.Legend.Top, p.Legend.Left = false, false
 	p.Legend.YOffs = vg.Points(6)
-	from := math.Floor(low*10-0.5) / 10
-	p.Y.Min, p.Y.Max, p.X.Min, p.X.Max = max(0, from), 1.005, 0, float64(seconds)
+	axisStart := math.Floor(low*10-0.5) / 10
+	p.Y.Min, p.Y.Max, p.X.Min, p.X.Max = max(0, axisStart), 1.005, 0, float64(seconds)
 	var marks []float64
 	if r.source != nil {
 		for _, f := range r.source.Arm(arms[0]).Faults {
@@ -223,12 +227,12 @@
 		}
 	}
 	for _, at := range marks {
-		l, err := plotter.NewLine(plotter.XYs{{X: at, Y: p.Y.Min}, {X: at, Y: p.Y.Max}})
+		line, err := plotter.NewLine(plotter.XYs{{X: at, Y: p.Y.Min}, {X: at, Y: p.Y.Max}})
 		if err != nil {
 			return err
 		}
-		l.Color, l.Dashes = color.Gray{0x90}, []vg.Length{vg.Points(3), vg.Points(3)}
-		p.Add(l)
+		line.Color, line.Dashes = color.Gray{0x90}, []vg.Length{vg.Points(3), vg.Points(3)}
+		p.Add(line)
 	}
 	return nil
 }
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -1,5 +1,6 @@
-// Package experiment plays a world under several arms and many seeds, and says what came of it with its uncertainty. An
-// experiment is a file; the same file and seeds give the same result on any machine and with any number of workers.
+// Package experiment runs a world in the emulator in several arms with many seeds, and computes metrics with their
+// confidence intervals. An experiment is a file; the same file and seeds give the same result on any machine and with any
+// number of workers.
 package experiment
 
 import (
@@ -12,7 +13,7 @@
 	"gorsewell/internal/yamlfile"
 )
 
-// File is an experiment. docs/operators/experiments.md describes each field.
+// File is an experiment. docs/operators/experiments.md describes each key.
 type File struct {
 	Name     string            `yaml:"name"`
 	About    string            `yaml:"about"`
@@ -23,55 +24,56 @@
 	SeedFrom uint64            `yaml:"seed_from"`
 	Expect   []Expectation     `yaml:"expect"`
 	Charts   []Chart           `yaml:"charts"`
-	Base     string            `yaml:"base"` // the arm that others are compared with in tables; none where it says nothing
+	Base     string            `yaml:"base"` // the arm with which tables compare the others; none if empty
 
-	Arms []Arm // in the order in which the file has them
+	Arms []Arm // in the order of the file
 }
 
-// RawArm is an arm as the file has it: what is not named is as in the file's own world and faults.
+// RawArm is an arm as written in the file. Keys that it omits have the values of the file's own world and faults.
 type RawArm struct {
 	Policy  string       `yaml:"policy"`
 	Gossip  bool         `yaml:"gossip"`
-	World   yamlfile.Raw `yaml:"world"`   // laid over the file's
-	Faults  yamlfile.Raw `yaml:"faults"`  // instead of the file's
-	More    yamlfile.Raw `yaml:"more"`    // faults beside the file's
-	Without []string     `yaml:"without"` // kinds of faults that this arm is spared
+	World   yamlfile.Raw `yaml:"world"`   // values that replace those of the file's world
+	Faults  yamlfile.Raw `yaml:"faults"`  // replace the file's faults
+	More    yamlfile.Raw `yaml:"more"`    // faults added to the file's
+	Without []string     `yaml:"without"` // kinds of faults that are removed
 	Label   string       `yaml:"label"`
 }
 
-// Arm is one of what is compared, ready to be played.
+// Arm is one of the variants that an experiment compares.
 type Arm struct {
-	Name, Label string
-	World       emulator.World
-	Faults      []emulator.Fault
-	Decides     emulator.Arm
+	Name    string
+	Label   string
+	World   emulator.World
+	Faults  []emulator.Fault
+	Decides emulator.Arm // the policy that decides, and whether gateways gossip
 }
 
-// Expectation is a bound that a figure has to keep.
+// Expectation is a bound on a metric, or on a comparison of arms by a metric.
 type Expectation struct {
 	Name    string   `yaml:"name"`
 	Metric  string   `yaml:"metric"`
 	Arm     string   `yaml:"arm"`
-	Over    string   `yaml:"over"`    // another arm: the figure is the ratio of the two, seed by seed
-	Less    string   `yaml:"less"`    // another arm: the figure is the difference, seed by seed
-	Between []string `yaml:"between"` // two arms, floor and top: the figure is the part of the way from one to the other, in the means
-	Of      string   `yaml:"of"`      // mean, least or most over the seeds; mean where it says nothing
+	Over    string   `yaml:"over"`    // another arm: the value is the ratio of Arm to it, for each seed
+	Less    string   `yaml:"less"`    // another arm: the value is the difference of Arm and it, for each seed
+	Between []string `yaml:"between"` // two arms, floor and top: the value is the position of Arm's mean between theirs, from 0 to 1
+	Of      string   `yaml:"of"`      // mean, least or most over the seeds; mean if empty
 	AtLeast *float64 `yaml:"at_least"`
 	AtMost  *float64 `yaml:"at_most"`
 }
 
-// Chart is a picture that belongs to the experiment.
+// Chart is a chart of the experiment's result.
 type Chart struct {
 	Name   string   `yaml:"name"`
-	Kind   string   `yaml:"kind"`   // bars: a metric by arm; time: service over the day; line: a metric over what arms' labels say
-	Metric string   `yaml:"metric"` // service where it says nothing
-	Arms   []string `yaml:"arms"`   // all where it says nothing
+	Kind   string   `yaml:"kind"`   // bars: a metric by arm; time: service over time; line: a metric over the numbers in the arms' labels
+	Metric string   `yaml:"metric"` // service if empty
+	Arms   []string `yaml:"arms"`   // all if empty
 	Title  string   `yaml:"title"`
 	X      string   `yaml:"x"`
 	Y      string   `yaml:"y"`
 }
 
-// Load reads and checks an experiment. Problems come back as yamlfile.Problems.
+// Load reads and validates an experiment file. Errors in the file are returned as yamlfile.Problems.
 func Load(path string) (*File, error) {
 	e := &File{World: emulator.Default(), Seeds: 8, SeedFrom: 1}
 	f, err := yamlfile.Load(path, e)
@@ -81,12 +83,13 @@
 	return e.prepare(f)
 }
 
-// Parse reads an experiment from text.
+// Parse reads and validates an experiment from text. The name stands for that of a file in errors.
 func Parse(name string, text []byte) (*File, error) {
 	e := &File{World: emulator.Default(), Seeds: 8, SeedFrom: 1}
 	return e.prepare(yamlfile.Read(name, text, e))
 }
 
+// prepare builds the arms and validates the experiment.
 func (e *File) prepare(f *yamlfile.File) (*File, error) {
 	if f.Err() == nil {
 		e.buildArms(f)
@@ -95,13 +98,13 @@
 	return e, f.Err()
 }
 
-// arms makes the arms out of the file's world and what each says for itself.
+// buildArms builds the arms from the file's world and faults and each arm's own keys.
 func (e *File) buildArms(f *yamlfile.File) {
 	names := make([]string, 0, len(e.ArmsRaw))
 	for name := range e.ArmsRaw {
 		names = append(names, name)
 	}
-	// In the order in which the file has them, as that is how they are told.
+	// Results list the arms in the order of the file.
 	sort.Slice(names, func(i, j int) bool {
 		a, b := f.Line("arms."+names[i]), f.Line("arms."+names[j])
 		return a < b || a == b && names[i] < names[j]
@@ -114,9 +117,9 @@
 			a.Label = name
 		}
 		if raw.Policy != "" && !slices.Contains(emulator.Policies, raw.Policy) {
-			f.Wrong(key+".policy", "%q is no policy; %s are", raw.Policy, strings.Join(emulator.Policies, ", "))
+			f.Wrong(key+".policy", "%q is not a policy; expected one of %s", raw.Policy, strings.Join(emulator.Policies, ", "))
 		}
-		// Slices are not shared between arms: one may change its own.
+		// Arms do not share slices, because each may change its own.
 		a.World.OpTypes = slices.Clone(e.World.OpTypes)
 		a.World.Servers.Kinds = slices.Clone(e.World.Servers.Kinds)
 		raw.World.Into(&a.World)
@@ -135,77 +138,79 @@
 	}
 }
 
+// validate checks the values of all keys.
 func (e *File) validate(f *yamlfile.File) {
 	if e.Name == "" || strings.ContainsAny(e.Name, "/\\ ") {
-		f.Wrong("name", "%q is no name; letters, digits and dashes", e.Name)
+		f.Wrong("name", "%q is not a valid name; expected letters, digits and dashes", e.Name)
 	}
 	if len(e.Arms) == 0 {
-		f.Wrong("arms", "at least one is needed")
+		f.Wrong("arms", "no arms found; expected at least one")
 	}
 	if e.Seeds < 1 || e.Seeds > 10000 {
-		f.Wrong("seeds", "%d is not within 1 to 10000", e.Seeds)
+		f.Wrong("seeds", "%d is out of range; expected 1 to 10000", e.Seeds)
 	}
 	e.World.Valid(f, "world")
 	emulator.ValidFaults(f, "faults", e.Faults, &e.World)
-	arm := func(key, name string) {
+	checkArm := func(key, name string) {
 		if name != "" && e.Arm(name) == nil {
-			f.Wrong(key, "%q is no arm; %s are", name, strings.Join(e.armNames(), ", "))
+			f.Wrong(key, "%q is not an arm; expected one of %s", name, strings.Join(e.armNames(), ", "))
 		}
 	}
-	arm("base", e.Base)
-	for i, x := range e.Expect {
+	checkArm("base", e.Base)
+	for i, expectation := range e.Expect {
 		key := fmt.Sprintf("expect[%d]", i)
-		if x.Name == "" {
-			f.Wrong(key, "has no name")
+		if expectation.Name == "" {
+			f.Wrong(key, "name is missing")
 		}
-		if x.Arm == "" {
-			f.Wrong(key, "names no arm")
+		if expectation.Arm == "" {
+			f.Wrong(key, "arm is missing")
 		}
-		arm(key+".arm", x.Arm)
-		arm(key+".over", x.Over)
-		arm(key+".less", x.Less)
-		for j, name := range x.Between {
-			arm(fmt.Sprintf("%s.between[%d]", key, j), name)
+		checkArm(key+".arm", expectation.Arm)
+		checkArm(key+".over", expectation.Over)
+		checkArm(key+".less", expectation.Less)
+		for j, name := range expectation.Between {
+			checkArm(fmt.Sprintf("%s.between[%d]", key, j), name)
 		}
-		if len(x.Between) != 0 && len(x.Between) != 2 {
-			f.Wrong(key+".between", "wants two arms, the floor and the top")
+		if len(expectation.Between) != 0 && len(expectation.Between) != 2 {
+			f.Wrong(key+".between", "expected two arms, the floor and the top")
 		}
-		given := 0
-		for _, on := range []bool{x.Over != "", x.Less != "", len(x.Between) > 0} {
-			if on {
-				given++
+		comparisons := 0
+		for _, isSet := range []bool{expectation.Over != "", expectation.Less != "", len(expectation.Between) > 0} {
+			if isSet {
+				comparisons++
 			}
 		}
-		if given > 1 {
-			f.Wrong(key, "only one of over, less and between can be meant")
+		if comparisons > 1 {
+			f.Wrong(key, "expected at most one of over, less and between")
 		}
-		if !slices.Contains([]string{"", "mean", "least", "most"}, x.Of) {
-			f.Wrong(key+".of", "%q is none of mean, least and most", x.Of)
+		if !slices.Contains([]string{"", "mean", "least", "most"}, expectation.Of) {
+			f.Wrong(key+".of", "%q is not valid; expected mean, least or most", expectation.Of)
 		}
-		if x.AtLeast == nil && x.AtMost == nil {
-			f.Wrong(key, "says neither at_least nor at_most")
+		if expectation.AtLeast == nil && expectation.AtMost == nil {
+			f.Wrong(key, "expected at_least or at_most, found neither")
 		}
-		if !e.hasMetric(x.Metric) {
-			f.Wrong(key+".metric", "%q is no metric; %s are", x.Metric, strings.Join(e.Metrics(), ", "))
+		if !e.hasMetric(expectation.Metric) {
+			f.Wrong(key+".metric", "%q is not a metric; expected one of %s", expectation.Metric, strings.Join(e.Metrics(), ", "))
 		}
 	}
-	for i, c := range e.Charts {
+	for i, chart := range e.Charts {
 		key := fmt.Sprintf("charts[%d]", i)
-		if c.Name == "" || strings.ContainsAny(c.Name, "/\\ ") {
-			f.Wrong(key+".name", "%q is no name for a file", c.Name)
+		if chart.Name == "" || strings.ContainsAny(chart.Name, "/\\ ") {
+			f.Wrong(key+".name", "%q is not a valid file name; it must not be empty or contain slashes, backslashes or spaces", chart.Name)
 		}
-		if !slices.Contains([]string{"bars", "time", "line"}, c.Kind) {
-			f.Wrong(key+".kind", "%q is none of bars, time and line", c.Kind)
+		if !slices.Contains([]string{"bars", "time", "line"}, chart.Kind) {
+			f.Wrong(key+".kind", "%q is not valid; expected bars, time or line", chart.Kind)
 		}
-		if c.Metric != "" && !e.hasMetric(c.Metric) {
-			f.Wrong(key+".metric", "%q is no metric; %s are", c.Metric, strings.Join(e.Metrics(), ", "))
+		if chart.Metric != "" && !e.hasMetric(chart.Metric) {
+			f.Wrong(key+".metric", "%q is not a metric; expected one of %s", chart.Metric, strings.Join(e.Metrics(), ", "))
 		}
-		for j, name := range c.Arms {
-			arm(fmt.Sprintf("%s.arms[%d]", key, j), name)
+		for j, name := range chart.Arms {
+			checkArm(fmt.Sprintf("%s.arms[%d]", key, j), name)
 		}
 	}
 }
 
+// armNames returns the names of all arms.
 func (e *File) armNames() (names []string) {
 	for _, a := range e.Arms {
 		names = append(names, a.Name)
@@ -213,7 +218,7 @@
 	return names
 }
 
-// Arm finds one by its name; nil if there is none.
+// Arm returns the arm with a name, or nil if there is none.
 func (e *File) Arm(name string) *Arm {
 	for i := range e.Arms {
 		if e.Arms[i].Name == name {
--- a/internal/experiment/metric.go
+++ b/internal/experiment/metric.go
@@ -8,37 +8,37 @@
 	"gorsewell/internal/emulator"
 )
 
-// overall are the metrics of a run that do not belong to one op type, with what they mean.
+// runMetrics lists the metrics of a whole run.
 var runMetrics = []struct{ name, doc string }{
-	{"service", "value earned over value asked for"},
-	{"worst10", "service in the worst ten seconds in a row"},
-	{"worst_type", "service of the op type that fared worst"},
-	{"rules_broken", "times that a rule was broken"},
-	{"sends_per_op", "sends for each op asked for"},
-	{"probes_per_op", "probes for each op asked for"},
-	{"busy_share", "busy replies for each op taken by a gateway"},
-	{"errored_share", "errors for each op taken by a gateway"},
-	{"retries_per_op", "tries of clients beyond the first, for each op asked for"},
-	{"work_per_op", "milliseconds of servers' work for each op asked for"},
-	{"troubles_per_second", "symptoms that modules told, over all instances"},
-	{"gossip_bytes", "bytes a second sent by one instance, in the mean"},
-	{"gossip_worst", "bytes sent in the worst second of any honest instance"},
-	{"gossip_false_deaths", "times that a member was held dead that was there and could be reached"},
-	{"gossip_deaths", "times that a member was held dead"},
-	{"gossip_rumours", "rumours that instances made of their own"},
-	{"gossip_contradicted", "times that an instance saw otherwise than it was told"},
+	{"service", "value earned divided by the value of all ops"},
+	{"worst10", "service in the worst ten consecutive seconds"},
+	{"worst_type", "service of the op type with the lowest service"},
+	{"rules_broken", "number of violations of the rules"},
+	{"sends_per_op", "sends per op of the clients"},
+	{"probes_per_op", "probes per op of the clients"},
+	{"busy_share", "busy replies per op accepted by a gateway"},
+	{"errored_share", "errors per op accepted by a gateway"},
+	{"retries_per_op", "retries of clients per op"},
+	{"work_per_op", "work of servers in milliseconds per op of the clients"},
+	{"troubles_per_second", "symptoms per second reported by the decision modules of all instances"},
+	{"gossip_bytes", "mean bytes sent per second by one instance"},
+	{"gossip_worst", "most bytes sent in one second by any honest instance"},
+	{"gossip_false_deaths", "number of times that a running and reachable member was declared dead"},
+	{"gossip_deaths", "number of times that a member was declared dead"},
+	{"gossip_rumours", "number of rumours originated by instances"},
+	{"gossip_contradicted", "number of times that an instance observed the opposite of a rumour"},
 }
 
-// byType are the metrics of one op type; a metric's name ends with the op type's after a dot.
+// opTypeMetrics lists the metrics of one op type. The name of the op type is appended after a dot.
 var opTypeMetrics = []struct{ name, doc string }{
-	{"service", "value earned over value asked for"},
-	{"p50", "milliseconds from the first try to the ack, median of the acks"},
-	{"p99", "the same, 99 of 100"},
-	{"late_share", "acks past the latency target, of the ops asked for"},
-	{"failed_share", "ops that no ack came for in their clients' time, of those asked for"},
+	{"service", "value earned divided by the value of all ops"},
+	{"p50", "milliseconds from the first attempt to the ack, median of the acks"},
+	{"p99", "milliseconds from the first attempt to the ack, 99th percentile"},
+	{"late_share", "fraction of ops acked after the latency target"},
+	{"failed_share", "fraction of ops not acked within their clients' time"},
 }
 
-// Metrics lists what can be told of a run of this experiment.
+// Metrics returns the names of all metrics that a run of this experiment can have.
 func (e *File) Metrics() (names []string) {
 	for _, m := range runMetrics {
 		names = append(names, m.name)
@@ -51,9 +51,10 @@
 	return names
 }
 
+// hasMetric reports whether a run of this experiment can have a metric.
 func (e *File) hasMetric(metric string) bool { return slices.Contains(e.Metrics(), metric) }
 
-// MetricDocs gives the metrics with what they mean, for the help of the command.
+// MetricDocs returns the name and description of each metric, for the help of the command.
 func MetricDocs() [][2]string {
 	var all [][2]string
 	for _, m := range runMetrics {
@@ -65,6 +66,7 @@
 	return all
 }
 
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -72,45 +74,45 @@
 	return a / b
 }
 
-// measure turns a run's result into figures by metric.
+// computeMetrics returns the metrics of a run's result by name.
 func computeMetrics(r *emulator.Result, seconds float64) map[string]float64 {
-	m := map[string]float64{
+	metrics := map[string]float64{
 		"service": r.Service(), "worst10": r.Worst(10), "worst_type": 1, "rules_broken": float64(r.RulesBroken()),
 		"sends_per_op": ratio(float64(r.Sends), r.Asked), "probes_per_op": ratio(float64(r.Probes), r.Asked),
 		"busy_share": ratio(float64(r.Busy), float64(r.Taken)), "errored_share": ratio(float64(r.Errored), float64(r.Taken)),
 		"retries_per_op": ratio(float64(r.Retries), r.Asked), "work_per_op": ratio(float64(r.Worked.Microseconds())/1000, r.Asked),
 	}
-	troubles := 0.0
+	symptoms := 0.0
 	for _, n := range r.Troubles[1:] {
-		troubles += float64(n)
+		symptoms += float64(n)
 	}
-	m["troubles_per_second"] = ratio(troubles, seconds)
-	if g := r.Gossip; g != nil {
-		m["gossip_bytes"], m["gossip_worst"], m["gossip_false_deaths"] = g.Sent, g.WorstSent, float64(g.False)
-		m["gossip_deaths"], m["gossip_rumours"], m["gossip_contradicted"] = float64(g.Counts.Died), float64(g.Counts.RumoursMade), float64(g.Counts.Contradicted)
+	metrics["troubles_per_second"] = ratio(symptoms, seconds)
+	if gossip := r.Gossip; gossip != nil {
+		metrics["gossip_bytes"], metrics["gossip_worst"], metrics["gossip_false_deaths"] = gossip.Sent, gossip.WorstSent, float64(gossip.False)
+		metrics["gossip_deaths"], metrics["gossip_rumours"], metrics["gossip_contradicted"] = float64(gossip.Counts.Died), float64(gossip.Counts.RumoursMade), float64(gossip.Counts.Contradicted)
 	}
 	for i := range r.Types {
-		t := &r.Types[i]
-		s := 1.0
-		if t.Value > 0 {
-			s = t.Earned / t.Value
-			m["worst_type"] = min(m["worst_type"], s)
+		opType := &r.Types[i]
+		service := 1.0
+		if opType.Value > 0 {
+			service = opType.Earned / opType.Value
+			metrics["worst_type"] = min(metrics["worst_type"], service)
 		}
-		m["service."+t.Name] = s
-		m["p50."+t.Name] = float64(t.Latency.ValueAtQuantile(50)) / 1000
-		m["p99."+t.Name] = float64(t.Latency.ValueAtQuantile(99)) / 1000
-		m["late_share."+t.Name] = ratio(float64(t.Late), float64(t.Asked))
-		m["failed_share."+t.Name] = ratio(float64(t.Failed), float64(t.Asked))
+		metrics["service."+opType.Name] = service
+		metrics["p50."+opType.Name] = float64(opType.Latency.ValueAtQuantile(50)) / 1000
+		metrics["p99."+opType.Name] = float64(opType.Latency.ValueAtQuantile(99)) / 1000
+		metrics["late_share."+opType.Name] = ratio(float64(opType.Late), float64(opType.Asked))
+		metrics["failed_share."+opType.Name] = ratio(float64(opType.Failed), float64(opType.Asked))
 	}
-	for name, v := range m {
+	for name, v := range metrics {
 		if math.IsNaN(v) || math.IsInf(v, 0) {
-			m[name] = 0
+			metrics[name] = 0
 		}
 	}
-	return m
+	return metrics
 }
 
-// decimals is how exactly a metric is told.
+// decimals returns the number of decimals with which a metric is printed.
 func decimals(metric string) int {
 	switch name, _, _ := strings.Cut(metric, "."); name {
 	case "rules_broken", "gossip_bytes", "gossip_worst", "gossip_false_deaths", "gossip_deaths", "gossip_rumours", "gossip_contradicted":
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// JSON is the result as one object.
+// JSON returns the result as one JSON object.
 func (r *Result) JSON() []byte {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -17,7 +17,7 @@
 	return append(text, '\n')
 }
 
-// mainMetrics are those that tables show; the rest is in the JSON.
+// mainMetrics returns the metrics that tables show. The JSON has all of them.
 func (r *Result) mainMetrics() []string {
 	names := []string{"service", "worst10", "worst_type", "sends_per_op", "busy_share", "probes_per_op", "rules_broken"}
 	for _, m := range []string{"gossip_bytes", "gossip_worst", "gossip_false_deaths"} {
@@ -31,7 +31,8 @@
 	return names
 }
 
-// Table is the result as Markdown: arms by metrics with their intervals, and what was expected.
+// Table returns the result as Markdown: a table of metrics by arm with confidence intervals, the expectations, and rule
+// violations.
 func (r *Result) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n", r.Name)
@@ -73,7 +74,7 @@
 	return b.String()
 }
 
-// text is a figure with its interval.
+// format returns the mean with its confidence interval as text.
 func (f Figure) format(decimals int) string {
 	if f.Low == f.High {
 		return fmt.Sprintf("%.*f", decimals, f.Mean)
@@ -81,7 +82,7 @@
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", decimals, f.Mean, decimals, f.Low, decimals, f.High)
 }
 
-// write keeps the result in a folder: the object, the table, the charts.
+// writeFiles writes the result to a folder as JSON, table and charts.
 func (r *Result) writeFiles(dir string) error {
 	if err := writeFileAtomically(filepath.Join(dir, "result.json"), r.JSON()); err != nil {
 		return err
@@ -97,6 +98,7 @@
 	return nil
 }
 
+// chartLinks returns Markdown that shows the charts.
 func (r *Result) chartLinks() string {
 	var b strings.Builder
 	for _, c := range r.source.Charts {
@@ -105,7 +107,7 @@
 	return b.String()
 }
 
-// Open reads a result that a folder keeps, with its runs.
+// Open reads a stored result and its runs from a folder.
 func Open(dir string) (*Result, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "result.json"))
 	if err != nil {
@@ -123,7 +125,7 @@
 			if err == nil {
 				err = json.Unmarshal(text, run)
 			}
-			if err != nil { // results can be kept without their runs, which are many
+			if err != nil { // results may be stored without their many runs
 				runs = nil
 				break
 			}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -16,40 +16,40 @@
 	"gorsewell/internal/emulator"
 )
 
-// Options say how an experiment is played.
+// Options configures a run of an experiment.
 type Options struct {
-	Seeds    int    // instead of the file's, where more than 0
-	SeedFrom uint64 // instead of the file's, where more than 0
-	Workers  int    // runs at a time; all cores where 0
-	Out      string // folder that keeps runs and results; none where empty
-	Progress func(done, all int)
+	Seeds    int                 // number of seeds; the file's if 0
+	SeedFrom uint64              // first seed; the file's if 0
+	Workers  int                 // number of concurrent runs; the number of CPUs if 0
+	Out      string              // folder for runs and results; none are stored if empty
+	Progress func(done, all int) // called after each run, if not nil
 }
 
-// Run is one day of one arm.
+// Run is the result of one arm with one seed.
 type Run struct {
 	Arm     string             `json:"arm"`
 	Seed    uint64             `json:"seed"`
-	Key     string             `json:"key"` // of all that determines it
+	Key     string             `json:"key"` // hash of everything that determines the run
 	Metrics map[string]float64 `json:"metrics"`
 	Windows []emulator.Window  `json:"windows"`
 	Events  []emulator.Event   `json:"events,omitempty"`
 	Stories []emulator.Story   `json:"stories,omitempty"`
 }
 
-// Result is what came of an experiment.
+// Result is the result of an experiment.
 type Result struct {
 	Name    string                       `json:"experiment"`
 	Seeds   []uint64                     `json:"seeds"`
 	Arms    map[string]map[string]Figure `json:"arms"`
 	Expect  []Outcome                    `json:"expect"`
-	Order   []string                     `json:"order"` // of the arms
+	Order   []string                     `json:"order"` // names of the arms in the order of the file
 	Stories []emulator.Story             `json:"stories,omitempty"`
 
-	source *File
-	runs   [][]*Run // by arm, by seed
+	source *File    // nil if the result was read from a folder
+	runs   [][]*Run // by arm and seed
 }
 
-// Outcome is what came of an expectation.
+// Outcome is the outcome of one expectation.
 type Outcome struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
@@ -59,7 +59,7 @@
 	Holds bool    `json:"holds"`
 }
 
-// Holds tells whether all expectations do.
+// Holds reports whether all expectations hold.
 func (r *Result) Holds() bool {
 	for _, o := range r.Expect {
 		if !o.Holds {
@@ -69,14 +69,14 @@
 	return true
 }
 
-// Play plays an experiment. Runs that a folder keeps from an earlier, interrupted play are not played again.
+// Run runs an experiment. Runs that an earlier, interrupted call has stored in the folder are not repeated.
 func (e *File) Play(ctx context.Context, o Options) (*Result, error) {
-	seeds, from := e.Seeds, e.SeedFrom
+	seeds, seedFrom := e.Seeds, e.SeedFrom
 	if o.Seeds > 0 {
 		seeds = o.Seeds
 	}
 	if o.SeedFrom > 0 {
-		from = o.SeedFrom
+		seedFrom = o.SeedFrom
 	}
 	workers := o.Workers
 	if workers <= 0 {
@@ -87,26 +87,26 @@
 			return nil, err
 		}
 	}
-	res := &Result{Name: e.Name, Arms: map[string]map[string]Figure{}, source: e}
+	result := &Result{Name: e.Name, Arms: map[string]map[string]Figure{}, source: e}
 	for i := range seeds {
-		res.Seeds = append(res.Seeds, from+uint64(i))
+		result.Seeds = append(result.Seeds, seedFrom+uint64(i))
 	}
 	for _, a := range e.Arms {
-		res.Order = append(res.Order, a.Name)
-		res.runs = append(res.runs, make([]*Run, seeds))
+		result.Order = append(result.Order, a.Name)
+		result.runs = append(result.runs, make([]*Run, seeds))
 	}
-	group, inner := errgroup.WithContext(ctx)
+	group, groupCtx := errgroup.WithContext(ctx)
 	group.SetLimit(workers)
 	var mu sync.Mutex
 	done := 0
-	// Seed by seed, so that what an interrupted play leaves can be compared.
-	for s, seed := range res.Seeds {
+	// Seed by seed, so that the arms can be compared after an interruption.
+	for s, seed := range result.Seeds {
 		for a := range e.Arms {
-			if inner.Err() != nil {
+			if groupCtx.Err() != nil {
 				break
 			}
 			group.Go(func() error {
-				if err := inner.Err(); err != nil {
+				if err := groupCtx.Err(); err != nil {
 					return err
 				}
 				run, err := e.runOnce(&e.Arms[a], seed, o.Out)
@@ -115,7 +115,7 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				res.runs[a][s] = run
+				result.runs[a][s] = run
 				done++
 				if o.Progress != nil {
 					o.Progress(done, seeds*len(e.Arms))
@@ -127,14 +127,14 @@
 	if err := errors.Join(group.Wait(), ctx.Err()); err != nil {
 		return nil, err
 	}
-	res.summarize()
+	result.summarize()
 	if o.Out != "" {
-		return res, res.writeFiles(o.Out)
+		return result, result.writeFiles(o.Out)
 	}
-	return res, nil
+	return result, nil
 }
 
-// key is a hash of all that determines a run.
+// key returns a hash of everything that determines a run.
 func (a *Arm) key(seed uint64) string {
 	text, err := json.Marshal(struct {
 		Model   int
@@ -144,26 +144,26 @@
 		Seed    uint64
 	}{emulator.Model, a.World, a.Faults, a.Decides, seed})
 	if err != nil {
-		panic(err) // nothing in it can fail to be encoded
+		panic(err) // all types in it can be encoded
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64(text))
 }
 
-// one plays one run, or takes it from the folder.
+// runOnce runs one arm with one seed, or returns the stored run from the folder.
 func (e *File) runOnce(a *Arm, seed uint64, out string) (*Run, error) {
 	key := a.key(seed)
 	path := filepath.Join(out, "runs", fmt.Sprintf("%s-%d.json", a.Name, seed))
 	if out != "" {
-		kept := &Run{}
-		if text, err := os.ReadFile(path); err == nil && json.Unmarshal(text, kept) == nil && kept.Key == key {
-			return kept, nil
+		stored := &Run{}
+		if text, err := os.ReadFile(path); err == nil && json.Unmarshal(text, stored) == nil && stored.Key == key {
+			return stored, nil
 		}
 	}
-	r, err := emulator.Run(a.World, a.Faults, a.Decides, seed)
+	result, err := emulator.Run(a.World, a.Faults, a.Decides, seed)
 	if err != nil {
 		return nil, fmt.Errorf("arm %s, seed %d: %w", a.Name, seed, err)
 	}
-	run := &Run{Arm: a.Name, Seed: seed, Key: key, Metrics: computeMetrics(r, a.World.Length.Seconds()), Windows: r.Windows, Stories: r.Stories, Events: r.Events}
+	run := &Run{Arm: a.Name, Seed: seed, Key: key, Metrics: computeMetrics(result, a.World.Length.Seconds()), Windows: result.Windows, Stories: result.Stories, Events: result.Events}
 	if out == "" {
 		return run, nil
 	}
@@ -174,7 +174,7 @@
 	return run, err
 }
 
-// replace writes a file whole or not at all.
+// writeFileAtomically writes a file by way of a temporary file, so that it is never incomplete.
 func writeFileAtomically(path string, text []byte) error {
 	if err := os.WriteFile(path+".next", text, 0o644); err != nil {
 		return err
@@ -182,7 +182,7 @@
 	return os.Rename(path+".next", path)
 }
 
-// sum adds the runs up.
+// summarize computes the estimates and the outcomes of the expectations from all runs.
 func (r *Result) summarize() {
 	for a, name := range r.Order {
 		r.Arms[name] = map[string]Figure{}
@@ -205,7 +205,7 @@
 	}
 }
 
-// values are a metric's by seed; false where the arm has none.
+// values returns a metric of an arm by seed, and whether any run has it.
 func (r *Result) values(arm int, metric string) (values []float64, ok bool) {
 	for _, run := range r.runs[arm] {
 		v, has := run.Metrics[metric]
@@ -215,6 +215,7 @@
 	return values, ok
 }
 
+// armIndex returns the index of the arm with a name, or -1 if there is none.
 func (r *Result) armIndex(name string) int {
 	for i, n := range r.Order {
 		if n == name {
@@ -224,64 +225,64 @@
 	return -1
 }
 
-// judge compares an expectation with what came.
-func (r *Result) evaluate(x *Expectation) Outcome {
-	o := Outcome{Name: x.Name}
-	mine, _ := r.values(r.armIndex(x.Arm), x.Metric)
-	var f Figure
-	if len(x.Between) == 2 {
-		floor, _ := r.values(r.armIndex(x.Between[0]), x.Metric)
-		top, _ := r.values(r.armIndex(x.Between[1]), x.Metric)
-		part := func(draw []int) float64 {
-			var m, lo, hi float64
-			for _, i := range draw {
-				m, lo, hi = m+mine[i], lo+floor[i], hi+top[i]
+// evaluate returns the outcome of an expectation.
+func (r *Result) evaluate(expectation *Expectation) Outcome {
+	outcome := Outcome{Name: expectation.Name}
+	armValues, _ := r.values(r.armIndex(expectation.Arm), expectation.Metric)
+	var e Figure
+	if len(expectation.Between) == 2 {
+		floor, _ := r.values(r.armIndex(expectation.Between[0]), expectation.Metric)
+		top, _ := r.values(r.armIndex(expectation.Between[1]), expectation.Metric)
+		fraction := func(sample []int) float64 {
+			var armSum, floorSum, topSum float64
+			for _, i := range sample {
+				armSum, floorSum, topSum = armSum+armValues[i], floorSum+floor[i], topSum+top[i]
 			}
-			return ratio(m-lo, hi-lo)
+			return ratio(armSum-floorSum, topSum-floorSum)
 		}
-		all := make([]int, len(mine))
-		for i := range all {
-			all[i] = i
+		allSeeds := make([]int, len(armValues))
+		for i := range allSeeds {
+			allSeeds[i] = i
 		}
-		f.Mean = part(all)
-		f.Low, f.High = bootstrap(len(mine), part)
-		f.Least, f.Most = f.Mean, f.Mean
-		for i := range mine {
-			v := part([]int{i})
-			f.Least, f.Most = min(f.Least, v), max(f.Most, v)
+		e.Mean = fraction(allSeeds)
+		e.Low, e.High = bootstrap(len(armValues), fraction)
+		e.Least, e.Most = e.Mean, e.Mean
+		for i := range armValues {
+			v := fraction([]int{i})
+			e.Least, e.Most = min(e.Least, v), max(e.Most, v)
 		}
 	} else {
-		values := append([]float64(nil), mine...)
-		if other := x.Over + x.Less; other != "" {
-			theirs, _ := r.values(r.armIndex(other), x.Metric)
+		values := append([]float64(nil), armValues...)
+		if other := expectation.Over + expectation.Less; other != "" {
+			otherValues, _ := r.values(r.armIndex(other), expectation.Metric)
 			for i := range values {
-				if x.Over != "" {
-					values[i] = ratio(values[i], theirs[i])
+				if expectation.Over != "" {
+					values[i] = ratio(values[i], otherValues[i])
 				} else {
-					values[i] -= theirs[i]
+					values[i] -= otherValues[i]
 				}
 			}
 		}
-		f = estimate(values)
+		e = estimate(values)
 	}
-	o.Value, o.Low, o.High = f.Mean, f.Low, f.High
-	switch x.Of {
+	outcome.Value, outcome.Low, outcome.High = e.Mean, e.Low, e.High
+	switch expectation.Of {
 	case "least":
-		o.Value, o.Low, o.High = f.Least, f.Least, f.Least
+		outcome.Value, outcome.Low, outcome.High = e.Least, e.Least, e.Least
 	case "most":
-		o.Value, o.Low, o.High = f.Most, f.Most, f.Most
+		outcome.Value, outcome.Low, outcome.High = e.Most, e.Most, e.Most
 	}
-	o.Holds = true
-	if x.AtLeast != nil {
-		o.Bound = fmt.Sprintf("at least %g", *x.AtLeast)
-		o.Holds = o.Value >= *x.AtLeast
+	outcome.Holds = true
+	if expectation.AtLeast != nil {
+		outcome.Bound = fmt.Sprintf("at least %g", *expectation.AtLeast)
+		outcome.Holds = outcome.Value >= *expectation.AtLeast
 	}
-	if x.AtMost != nil {
-		if o.Bound != "" {
-			o.Bound += ", "
+	if expectation.AtMost != nil {
+		if outcome.Bound != "" {
+			outcome.Bound += ", "
 		}
-		o.Bound += fmt.Sprintf("at most %g", *x.AtMost)
-		o.Holds = o.Holds && o.Value <= *x.AtMost
+		outcome.Bound += fmt.Sprintf("at most %g", *expectation.AtMost)
+		outcome.Holds = outcome.Holds && outcome.Value <= *expectation.AtMost
 	}
-	return o
+	return outcome
 }
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -7,49 +7,50 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Figure is a mean over the seeds with the interval in which 95 of 100 such means lie, by bootstrap.
+// Estimate is a mean over the seeds with its 95 percent confidence interval, which is computed by bootstrap.
 type Figure struct {
 	Mean  float64 `json:"mean"`
-	Low   float64 `json:"low"`
-	High  float64 `json:"high"`
-	Least float64 `json:"least"`
-	Most  float64 `json:"most"`
+	Low   float64 `json:"low"`   // lower end of the interval
+	High  float64 `json:"high"`  // upper end of the interval
+	Least float64 `json:"least"` // least value of any seed
+	Most  float64 `json:"most"`  // greatest value of any seed
 }
 
-const resamples = 2000
+const resamples = 2000 // number of bootstrap samples
 
-// figure sums up the values of the seeds, in their order. The chance of the resampling is always the same, so that the
-// same values give the same interval.
+// estimate returns the estimate for the values of the seeds, in their order. The random numbers of the bootstrap are always
+// the same, so that the same values give the same interval.
 func estimate(values []float64) Figure {
 	if len(values) == 0 {
 		return Figure{}
 	}
-	f := Figure{Mean: stat.Mean(values, nil), Least: slices.Min(values), Most: slices.Max(values)}
-	f.Low, f.High = bootstrap(len(values), func(draw []int) float64 {
+	e := Figure{Mean: stat.Mean(values, nil), Least: slices.Min(values), Most: slices.Max(values)}
+	e.Low, e.High = bootstrap(len(values), func(sample []int) float64 {
 		sum := 0.0
-		for _, i := range draw {
+		for _, i := range sample {
 			sum += values[i]
 		}
-		return sum / float64(len(draw))
+		return sum / float64(len(sample))
 	})
-	return f
+	return e
 }
 
-// bootstrap gives the interval of a statistic over resampled seeds.
-func bootstrap(n int, of func(draw []int) float64) (low, high float64) {
+// bootstrap returns the 95 percent confidence interval of a statistic of n seeds. The statistic is called with the indexes
+// of the seeds of each sample.
+func bootstrap(n int, statistic func(sample []int) float64) (low, high float64) {
 	if n == 1 {
-		v := of([]int{0})
+		v := statistic([]int{0})
 		return v, v
 	}
 	rng := rand.New(rand.NewPCG(20, 26))
-	all := make([]float64, resamples)
-	draw := make([]int, n)
-	for i := range all {
-		for j := range draw {
-			draw[j] = rng.IntN(n)
+	results := make([]float64, resamples)
+	sample := make([]int, n)
+	for i := range results {
+		for j := range sample {
+			sample[j] = rng.IntN(n)
 		}
-		all[i] = of(draw)
+		results[i] = statistic(sample)
 	}
-	slices.Sort(all)
-	return stat.Quantile(0.025, stat.Empirical, all, nil), stat.Quantile(0.975, stat.Empirical, all, nil)
+	slices.Sort(results)
+	return stat.Quantile(0.025, stat.Empirical, results, nil), stat.Quantile(0.975, stat.Empirical, results, nil)
 }
--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -58,7 +58,7 @@
 	Errored  int64
 	Retries  int64
 	Lost     int64    // attempts whose connection ended without an answer
-	Garbled  int64    // answers that belong to another op
+	Garbled  int64    // answers to another op than the one sent
 	TimedOut int64    // attempts whose client left because its time was up
 	Crossed  int64    // attempts repeated because the gateway closed the idle connection at the same moment
 	Broken   [5]int64 // violations by rule
--- a/internal/loopback/rig.go
+++ b/internal/loopback/rig.go
@@ -36,7 +36,7 @@
 	Warm    time.Duration // time that the gateways run before the first op
 	Keep    string        // folder for the gateways' logs; none are kept if it is empty
 
-	// Shape, if not nil, changes the settings of one gateway and reports whether its clients mark retries as such. It
+	// ChangeSettings, if not nil, changes the settings of one gateway and reports whether its clients mark retries as such. It
 	// simulates a migration, in which gateways with different settings use the same servers.
 	Shape func(index int, settings map[string]any) (marksRetries bool)
 }
@@ -424,7 +424,7 @@
 	}
 	r.mu.Lock()
 	cmd := p.cmd
-	p.downSince = time.Now().Add(frontDelay - r.World.Gateways.FrontKnows)
+	p.downSince = time.Now().Add(frontDelay - r.World.Gateways.FrontKnows) // pickGateway adds FrontKnows
 	r.mu.Unlock()
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
