--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// drawLines draws a metric over the numbers in the labels of the arms. Arms whose names are equal up to the last dash are
-// joined by one line.
+// drawLines draws a metric over the numbers in the labels of the arms. Arms whose names are equal up to the last dash
+// are joined by one line.
 func (r *Result) drawLines(p *plot.Plot, arms []string, metric string) error {
 	lines := map[string]*pointsWithErrors{}
 	var names []string
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// drawTime draws the service of each arm over the time of a run, over all seeds together and in at most about 60 windows.
-// Dashed lines mark where the faults of the first arm start and end.
+// drawTime draws the service of each arm over the time of a run, over all seeds together and in at most about 60
+// windows. Dashed lines mark where the faults of the first arm start and end.
 func (r *Result) drawTime(p *plot.Plot, arms []string) error {
 	p.X.Label.Text = "seconds since the first op"
 	if p.Y.Label.Text == "" || p.Y.Label.Text == "service" {
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -1,6 +1,6 @@
 // Package experiment runs a world in the emulator in several arms with many seeds, and computes metrics with their
-// confidence intervals. An experiment is a file; the same file and seeds give the same result on any machine and with any
-// number of workers.
+// confidence intervals. An experiment is a file; the same file and seeds give the same result on any machine and with
+// any number of workers.
 package experiment
 
 import (
@@ -56,7 +56,7 @@
 	Arm     string   `yaml:"arm"`
 	Over    string   `yaml:"over"`    // another arm: the value is the ratio of Arm to it, for each seed
 	Less    string   `yaml:"less"`    // another arm: the value is the difference of Arm and it, for each seed
-	Between []string `yaml:"between"` // two arms, floor and top: the value is the position of Arm's mean between theirs, from 0 to 1
+	Between []string `yaml:"between"` // two arms, floor and top: (mean of Arm - floor) / (top - floor)
 	Of      string   `yaml:"of"`      // mean, least or most over the seeds; mean if empty
 	AtLeast *float64 `yaml:"at_least"`
 	AtMost  *float64 `yaml:"at_most"`
@@ -65,7 +65,7 @@
 // Chart is a chart of the experiment's result.
 type Chart struct {
 	Name   string   `yaml:"name"`
-	Kind   string   `yaml:"kind"`   // bars: a metric by arm; time: service over time; line: a metric over the numbers in the arms' labels
+	Kind   string   `yaml:"kind"`   // bars: metric by arm; time: service over time; line: metric over the arms' labels
 	Metric string   `yaml:"metric"` // service if empty
 	Arms   []string `yaml:"arms"`   // all if empty
 	Title  string   `yaml:"title"`
--- a/internal/experiment/metric.go
+++ b/internal/experiment/metric.go
@@ -80,7 +80,8 @@
 		"service": r.Service(), "worst10": r.Worst(10), "worst_type": 1, "rules_broken": float64(r.RulesBroken()),
 		"sends_per_op": ratio(float64(r.Sends), r.Asked), "probes_per_op": ratio(float64(r.Probes), r.Asked),
 		"busy_share": ratio(float64(r.Busy), float64(r.Taken)), "errored_share": ratio(float64(r.Errored), float64(r.Taken)),
-		"retries_per_op": ratio(float64(r.Retries), r.Asked), "work_per_op": ratio(float64(r.Worked.Microseconds())/1000, r.Asked),
+		"retries_per_op": ratio(float64(r.Retries), r.Asked),
+		"work_per_op":    ratio(float64(r.Worked.Microseconds())/1000, r.Asked),
 	}
 	symptoms := 0.0
 	for _, n := range r.Troubles[1:] {
@@ -88,8 +89,10 @@
 	}
 	metrics["troubles_per_second"] = ratio(symptoms, seconds)
 	if gossip := r.Gossip; gossip != nil {
-		metrics["gossip_bytes"], metrics["gossip_worst"], metrics["gossip_false_deaths"] = gossip.Sent, gossip.WorstSent, float64(gossip.False)
-		metrics["gossip_deaths"], metrics["gossip_rumours"], metrics["gossip_contradicted"] = float64(gossip.Counts.Died), float64(gossip.Counts.RumoursMade), float64(gossip.Counts.Contradicted)
+		metrics["gossip_bytes"], metrics["gossip_worst"], metrics["gossip_false_deaths"] = gossip.Sent, gossip.WorstSent,
+			float64(gossip.False)
+		metrics["gossip_deaths"], metrics["gossip_rumours"], metrics["gossip_contradicted"] = float64(gossip.Counts.Died),
+			float64(gossip.Counts.RumoursMade), float64(gossip.Counts.Contradicted)
 	}
 	for i := range r.Types {
 		opType := &r.Types[i]
@@ -115,7 +118,8 @@
 // decimals returns the number of decimals with which a metric is printed.
 func decimals(metric string) int {
 	switch name, _, _ := strings.Cut(metric, "."); name {
-	case "rules_broken", "gossip_bytes", "gossip_worst", "gossip_false_deaths", "gossip_deaths", "gossip_rumours", "gossip_contradicted":
+	case "rules_broken", "gossip_bytes", "gossip_worst", "gossip_false_deaths", "gossip_deaths", "gossip_rumours",
+		"gossip_contradicted":
 		return 0
 	case "p50", "p99", "work_per_op", "troubles_per_second":
 		return 1
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -163,7 +163,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("arm %s, seed %d: %w", a.Name, seed, err)
 	}
-	run := &Run{Arm: a.Name, Seed: seed, Key: key, Metrics: computeMetrics(result, a.World.Length.Seconds()), Windows: result.Windows, Stories: result.Stories, Events: result.Events}
+	run := &Run{Arm: a.Name, Seed: seed, Key: key, Metrics: computeMetrics(result, a.World.Length.Seconds()),
+		Windows: result.Windows, Stories: result.Stories, Events: result.Events}
 	if out == "" {
 		return run, nil
 	}
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -18,8 +18,8 @@
 
 const resamples = 2000 // number of bootstrap samples
 
-// estimate returns the estimate for the values of the seeds, in their order. The random numbers of the bootstrap are always
-// the same, so that the same values give the same interval.
+// estimate returns the estimate for the values of the seeds, in their order. The random numbers of the bootstrap are
+// always the same, so that the same values give the same interval.
 func estimate(values []float64) Figure {
 	if len(values) == 0 {
 		return Figure{}
@@ -35,8 +35,8 @@
 	return e
 }
 
-// bootstrap returns the 95 percent confidence interval of a statistic of n seeds. The statistic is called with the indexes
-// of the seeds of each sample.
+// bootstrap returns the 95 percent confidence interval of a statistic of n seeds. The statistic is called with the
+// indexes of the seeds of each sample.
 func bootstrap(n int, statistic func(sample []int) float64) (low, high float64) {
 	if n == 1 {
 		v := statistic([]int{0})
--- a/internal/loopback/check.go
+++ b/internal/loopback/check.go
@@ -8,8 +8,9 @@
 	"gorsewell/internal/emulator"
 )
 
-// checker checks rules 2, 3 and 5 from what the stand-in servers see: writes that take effect twice, ops that arrive at a
-// draining server, and answers from data that is too old. It also collects the events of a run. The clients check rule 1.
+// checker checks rules 2, 3 and 5 from what the stand-in servers see: writes that take effect twice, ops that arrive at
+// a draining server, and answers from data that is too old. It also collects the events of a run. The clients check
+// rule 1.
 type checker struct {
 	world *emulator.World
 	start time.Time
@@ -36,7 +37,8 @@
 const maxStories = 12 // violations that are described in full; all are counted
 
 func newChecker(w *emulator.World) *checker {
-	return &checker{world: w, start: time.Now(), effects: map[uint64]int{}, drainListedAt: map[*server]time.Time{}, readPositions: map[*job]int64{}}
+	return &checker{world: w, start: time.Now(), effects: map[uint64]int{}, drainListedAt: map[*server]time.Time{},
+		readPositions: map[*job]int64{}}
 }
 
 // event records something that happened.
@@ -50,7 +52,8 @@
 func (c *checker) violation(rule int, format string, args ...any) {
 	c.violations[rule-1]++
 	if len(c.stories) < maxStories {
-		c.stories = append(c.stories, fmt.Sprintf("rule %d after %v: ", rule, time.Since(c.start).Round(time.Millisecond))+fmt.Sprintf(format, args...))
+		c.stories = append(c.stories,
+			fmt.Sprintf("rule %d after %v: ", rule, time.Since(c.start).Round(time.Millisecond))+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -60,7 +63,8 @@
 	defer c.mu.Unlock()
 	c.sends++
 	if at, ok := c.drainListedAt[s]; ok && time.Since(at) > c.world.Rules.Grace+c.world.Rules.Slack {
-		c.violation(3, "op %s came to server %d, %v after it was told that this drains", j.id, s.num, time.Since(at).Round(time.Millisecond))
+		c.violation(3, "op %s came to server %d, %v after it was told that this drains", j.id, s.num,
+			time.Since(at).Round(time.Millisecond))
 	}
 }
 
@@ -109,8 +113,8 @@
 // have fallen silent.
 const maxPropagationDelay = 6 * time.Second
 
-// watchesSilenced records that all open watches have fallen silent. Each gateway opens a new one at a time of its own, so
-// a later change counts as known only after maxPropagationDelay.
+// watchesSilenced records that all open watches have fallen silent. Each gateway opens a new one at a time of its own,
+// so a later change counts as known only after maxPropagationDelay.
 func (c *checker) watchesSilenced() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -18,7 +18,8 @@
 	"gorsewell/internal/pgwire"
 )
 
-// plannedOp is one op, drawn before the run starts: the time of its arrival does not depend on the answers to other ops.
+// plannedOp is one op, drawn before the run starts: the time of its arrival does not depend on the answers to other
+// ops.
 type plannedOp struct {
 	arrival           time.Duration // since the start of the run
 	id                uint64
@@ -170,9 +171,10 @@
 }
 
 // newClients returns clients with the ops drawn from the seed.
-func newClients(w *emulator.World, seed uint64, gateways []string, pickGateway func(int) int, marksRetries func(int) bool) *clients {
-	c := &clients{world: w, gateways: gateways, pickGateway: pickGateway, marksRetries: marksRetries, plan: planOps(w, seed), idleConns: map[int][]*conn{}, lastWrites: map[int]int64{},
-		slots: make(chan struct{}, maxOpenOps)}
+func newClients(w *emulator.World, seed uint64, gateways []string, pickGateway func(int) int,
+	marksRetries func(int) bool) *clients {
+	c := &clients{world: w, gateways: gateways, pickGateway: pickGateway, marksRetries: marksRetries,
+		plan: planOps(w, seed), idleConns: map[int][]*conn{}, lastWrites: map[int]int64{}, slots: make(chan struct{}, maxOpenOps)}
 	c.result = &Result{Lateness: hdrhistogram.New(1, 60e6, 2), Windows: make([]emulator.Window, int(w.Length/time.Second)+1),
 		Homes: make([]HomeResult, len(gateways))}
 	for _, t := range w.OpTypes {
--- a/internal/loopback/fleet.go
+++ b/internal/loopback/fleet.go
@@ -1,7 +1,7 @@
-// Package loopback runs a deployment on sockets of 127.0.0.0/8: stand-in database servers with queues, cores, a replicated
-// log and failover, a stand-in discovery service, clients that send ops at times drawn beforehand, and gateways, each a
-// process of its own. It takes the same description of a world as the emulator, so that both can run it and their results
-// can be compared.
+// Package loopback runs a deployment on sockets of 127.0.0.0/8: stand-in database servers with queues, cores, a
+// replicated log and failover, a stand-in discovery service, clients that send ops at times drawn beforehand, and
+// gateways, each a process of its own. It takes the same description of a world as the emulator, so that both can run
+// it and their results can be compared.
 package loopback
 
 import (
@@ -112,7 +112,8 @@
 		f.groups = append(f.groups, g)
 		for j := range w.Servers.Members {
 			kind := w.Servers.Kinds[i%len(w.Servers.Kinds)]
-			s := &server{fleet: f, num: len(f.servers) + 1, group: g, zone: (i + j) % w.Zones, cores: kind.Cores, speed: kind.Speed, slowdown: 1, applySlowdown: 1,
+			s := &server{fleet: f, num: len(f.servers) + 1, group: g, zone: (i + j) % w.Zones, cores: kind.Cores,
+				speed: kind.Speed, slowdown: 1, applySlowdown: 1,
 				conns: map[net.Conn]struct{}{}, applied: time.Now().UnixMilli()}
 			f.servers = append(f.servers, s)
 			g.members = append(g.members, s)
@@ -264,7 +265,8 @@
 		n := len(a.value)
 		b = pgwire.AppendMessage(nil, pgwire.RowDescription,
 			"\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
-		b = pgwire.AppendMessage(b, pgwire.DataRow, "\x00\x01", string([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}), a.value)
+		b = pgwire.AppendMessage(b, pgwire.DataRow, "\x00\x01",
+			string([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}), a.value)
 		b = pgwire.AppendMessage(b, pgwire.CommandComplete, "SELECT 1\x00")
 	}
 	if a.role != "" {
@@ -314,7 +316,8 @@
 	if _, err := fmt.Sscanf(id, "%x.%d", &op, &attempt); err != nil {
 		return answer{code: "08P01"}
 	}
-	j := &job{server: s, generation: generation, id: id, op: op, attempt: attempt, tokenKey: fields["k"], sentAt: time.Now(), done: make(chan answer, 1)}
+	j := &job{server: s, generation: generation, id: id, op: op, attempt: attempt, tokenKey: fields["k"],
+		sentAt: time.Now(), done: make(chan answer, 1)}
 	for i := range s.fleet.world.OpTypes {
 		if t := &s.fleet.world.OpTypes[i]; t.Name == fields["c"] {
 			j.opType = t
@@ -451,7 +454,8 @@
 		s.queue = s.queue[1:]
 		s.startWork(next)
 	}
-	failed := s.errorShare > 0 && emulator.Chance(s.fleet.seed, 0xfa17, j.op, uint64(j.attempt), uint64(s.num)) < s.errorShare
+	failed := s.errorShare > 0 &&
+		emulator.Chance(s.fleet.seed, 0xfa17, j.op, uint64(j.attempt), uint64(s.num)) < s.errorShare
 	if j.token != nil {
 		j.token.pending--
 	}
@@ -598,7 +602,7 @@
 		s.group.primary = nil
 		s.group.elect(s.fleet.world.Failover.Elect)
 	}
-	s.applied = max(s.applied, time.Now().Add(-2*time.Second).UnixMilli()) // it catches up from the logs of the other members
+	s.applied = max(s.applied, time.Now().Add(-2*time.Second).UnixMilli()) // it catches up from other members
 	if err := s.listen(); err != nil {
 		return err
 	}
--- a/internal/loopback/liar.go
+++ b/internal/loopback/liar.go
@@ -49,10 +49,13 @@
 	}
 	settings := config.Default().Gossip
 	gossipConfig := &r.World.Gossip
-	settings.Cluster, settings.Listen, settings.Seeds = "day", p.gossipAddr, []string{r.gateways[0].gossipAddr, r.gateways[1].gossipAddr, r.gateways[2].gossipAddr}
-	settings.ProbeEvery, settings.ProbeTimeout, settings.SuspectFor, settings.TellEvery, settings.SyncEvery, settings.RumourLife = gossipConfig.ProbeEvery, gossipConfig.ProbeTimeout, gossipConfig.SuspectFor, gossipConfig.TellEvery, gossipConfig.SyncEvery, gossipConfig.RumourLife
-	l := &liar{harness: r, variant: variant, name: name, key: ring.Certificate.KeyID(), rng: rand.New(rand.NewPCG(r.Seed, 0x11a4+uint64(p.index))), lastNumber: 1 << 20,
-		clock: exchange.StartClock()}
+	settings.Cluster, settings.Listen, settings.Seeds = "day", p.gossipAddr,
+		[]string{r.gateways[0].gossipAddr, r.gateways[1].gossipAddr, r.gateways[2].gossipAddr}
+	settings.ProbeEvery, settings.ProbeTimeout, settings.SuspectFor, settings.TellEvery, settings.SyncEvery, settings.RumourLife =
+		gossipConfig.ProbeEvery, gossipConfig.ProbeTimeout, gossipConfig.SuspectFor, gossipConfig.TellEvery, gossipConfig.SyncEvery,
+		gossipConfig.RumourLife
+	l := &liar{harness: r, variant: variant, name: name, key: ring.Certificate.KeyID(),
+		rng: rand.New(rand.NewPCG(r.Seed, 0x11a4+uint64(p.index))), lastNumber: 1 << 20, clock: exchange.StartClock()}
 	if l.carrier, err = carrier.New(settings, name, ring, l.clock, noGateway{}, func(uint32) string { return "" }); err != nil {
 		r.checker.event("liar %d: %v", p.index, err)
 		return
@@ -94,7 +97,8 @@
 // newRumour returns a rumour of the liar about a server. Its creation time is ahead of the clock by the given time.
 func (l *liar) newRumour(serverNum int, symptom gossip.Symptom, ahead time.Duration) gossip.RelayedRumour {
 	l.lastNumber++
-	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.name, Key: l.key, Run: l.carrier.RunID(), Server: xxhash.Sum64String(fmt.Sprintf("s-%08x", serverNum)),
+	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.name, Key: l.key, Run: l.carrier.RunID(),
+		Server:  xxhash.Sum64String(fmt.Sprintf("s-%08x", serverNum)),
 		Symptom: symptom, Strength: 255, Number: l.lastNumber, Made: l.clock.Now() + ahead}}
 }
 
@@ -113,8 +117,8 @@
 			message.Rumours = append(message.Rumours, l.newRumour(g.members[0].num, gossip.Unreachable, 0))
 		case "accuse":
 			accused := peers[l.rng.IntN(len(peers))]
-			message.Claims = append(message.Claims, gossip.Claim{Kind: gossip.Accused, Name: accused.Name, Incarnation: 1 << 20, By: l.name, Key: l.key, Run: l.carrier.RunID(),
-				Clock: l.clock.Now()})
+			message.Claims = append(message.Claims, gossip.Claim{Kind: gossip.Accused, Name: accused.Name,
+				Incarnation: 1 << 20, By: l.name, Key: l.key, Run: l.carrier.RunID(), Clock: l.clock.Now()})
 		case "future":
 			message.Rumours = append(message.Rumours, l.newRumour(num, gossip.Silent, time.Duration(l.rng.IntN(3600))*time.Second))
 		case "contradict":
--- a/internal/loopback/mixed_test.go
+++ b/internal/loopback/mixed_test.go
@@ -68,8 +68,8 @@
 	return min(byShape[0], byShape[1]) < 0.75*max(byShape[0], byShape[1])
 }
 
-// Guards against a migration during which gateways with old and new settings, which use the same servers, break a rule or
-// starve one another. Two cases with wrong settings show that the checks can fail: in one, half of the gateways take
+// Guards against a migration during which gateways with old and new settings, which use the same servers, break a rule
+// or starve one another. Two cases with wrong settings show that the checks can fail: in one, half of the gateways take
 // writes for retryable; in the other, they have latency targets that nothing can meet.
 func TestInstancesWithDifferentSettingsKeepRulesAndShareLoad(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "gorsewell")
--- a/internal/loopback/rig.go
+++ b/internal/loopback/rig.go
@@ -36,8 +36,8 @@
 	Warm    time.Duration // time that the gateways run before the first op
 	Keep    string        // folder for the gateways' logs; none are kept if it is empty
 
-	// ChangeSettings, if not nil, changes the settings of one gateway and reports whether its clients mark retries as such. It
-	// simulates a migration, in which gateways with different settings use the same servers.
+	// ChangeSettings, if not nil, changes the settings of one gateway and reports whether its clients mark retries as
+	// such. It simulates a migration, in which gateways with different settings use the same servers.
 	Shape func(index int, settings map[string]any) (marksRetries bool)
 }
 
@@ -83,14 +83,15 @@
 }
 
 // FaultKinds lists the kinds of faults that can be injected on sockets.
-var Playable = []string{"crash", "hang", "slow", "error", "refuse", "slow_apply", "drain", "list_silent", "gateway_crash", "gateway_roll",
-	"gateway_pause", "liar"}
+var Playable = []string{"crash", "hang", "slow", "error", "refuse", "slow_apply", "drain", "list_silent",
+	"gateway_crash", "gateway_roll", "gateway_pause", "liar"}
 
 // Run runs a scenario. It takes as long as the scenario's world lasts and leaves nothing running.
 func Play(ctx context.Context, d Day) (*Result, error) {
 	for i, f := range d.Faults {
 		if !slices.Contains(Playable, f.Kind) {
-			return nil, fmt.Errorf("faults[%d]: %q cannot be injected on sockets; expected one of %s", i, f.Kind, strings.Join(Playable, ", "))
+			return nil, fmt.Errorf("faults[%d]: %q cannot be injected on sockets; expected one of %s", i, f.Kind,
+				strings.Join(Playable, ", "))
 		}
 	}
 	dir, err := os.MkdirTemp("", "gorsewell-loopback-")
@@ -154,9 +155,10 @@
 	for _, t := range w.OpTypes {
 		effect := map[string]string{"retryable": "retryable", "tokened": "dedup", "non_retryable": "fragile"}[t.Effect]
 		scope := map[string]string{"group": "cell", "zone": "zone", "all": "all"}[t.Scope]
-		classes = append(classes, map[string]any{"name": t.Name, "effect": effect, "dedup_scope": scope, "window": int64(t.Window), "target": int64(t.Target),
-			"give_up": int64(t.Timeout), "worth": t.Value, "late_value": t.LateValue})
-		needs = append(needs, map[string]string{"write": "mutate", "fresh": "strong", "session": "causal", "bounded": "lag_bound", "any": "eventual"}[t.Need])
+		classes = append(classes, map[string]any{"name": t.Name, "effect": effect, "dedup_scope": scope,
+			"window": int64(t.Window), "target": int64(t.Target), "give_up": int64(t.Timeout), "worth": t.Value, "late_value": t.LateValue})
+		needs = append(needs, map[string]string{"write": "mutate", "fresh": "strong", "session": "causal",
+			"bounded": "lag_bound", "any": "eventual"}[t.Need])
 		bound := int64(0)
 		if t.Need == "bounded" {
 			bound = int64(t.Bound)
@@ -176,12 +178,16 @@
 	if w.List.Asked {
 		mode = "on_request"
 	}
-	return map[string]any{"balancers": w.Gateways.Count, "round": int64(w.Gateways.Round), "registry_mode": mode, "classes": classes, "report": report,
-		"family_info": map[string]any{"needs_by_class": needs, "lag_allowed": bounds, "tells_position": w.Reports.Answers, "write_marks": writeMarks, "checks": checks},
-		"limits": map[string]any{"connect_timeout": int64(w.Servers.ConnectFor), "keepalive": int64(w.Servers.Idle), "max_attempts": w.Gateways.MaxSends,
-			"may_cancel": w.Gateways.Cancels, "probing": w.Gateways.Probes, "retry_after": w.Gateways.ComeBack > 0, "max_retry_after": int64(w.Gateways.ComeBack)},
-		"rules": map[string]any{"must_ask_in": int64(w.List.Within), "cold_from": w.Servers.ColdFrom, "cold": int64(w.Servers.ColdTime),
-			"overload_factor": w.Rules.Overload, "fall": int64(w.Rules.FallTime), "only_draining_binds": w.Reports.GoneRuns}}
+	return map[string]any{"balancers": w.Gateways.Count, "round": int64(w.Gateways.Round), "registry_mode": mode,
+		"classes": classes, "report": report,
+		"family_info": map[string]any{"needs_by_class": needs, "lag_allowed": bounds, "tells_position": w.Reports.Answers,
+			"write_marks": writeMarks, "checks": checks},
+		"limits": map[string]any{"connect_timeout": int64(w.Servers.ConnectFor), "keepalive": int64(w.Servers.Idle),
+			"max_attempts": w.Gateways.MaxSends, "may_cancel": w.Gateways.Cancels, "probing": w.Gateways.Probes,
+			"retry_after": w.Gateways.ComeBack > 0, "max_retry_after": int64(w.Gateways.ComeBack)},
+		"rules": map[string]any{"must_ask_in": int64(w.List.Within), "cold_from": w.Servers.ColdFrom,
+			"cold": int64(w.Servers.ColdTime), "overload_factor": w.Rules.Overload, "fall": int64(w.Rules.FallTime),
+			"only_draining_binds": w.Reports.GoneRuns}}
 }
 
 // freeAddr returns an address whose port is free for TCP and UDP.
@@ -276,7 +282,8 @@
 	if err := errors.Join(keys.WriteKey(base+".key", private), keys.WriteCertificate(base+".crt", cert)); err != nil {
 		return err
 	}
-	p.env = append(os.Environ(), "LB_CONFIG="+base+".json", "LB_NAME=", "LB_LISTEN=", "LB_DISCOVERY=", "GORSEWELL_CONFIG=", "GOMAXPROCS=1")
+	p.env = append(os.Environ(), "LB_CONFIG="+base+".json", "LB_NAME=", "LB_LISTEN=", "LB_DISCOVERY=",
+		"GORSEWELL_CONFIG=", "GOMAXPROCS=1")
 	g := &p.harness.World.Gossip
 	yaml := fmt.Sprintf("gossip:\n  enabled: true\n  cluster: day\n  listen: %q\n  seeds: [\"%s\"]\n  certificate: %s.crt\n  key: %s.key\n  authorities: [day.authority]\n"+
 		"  probe_every: %v\n  probe_timeout: %v\n  suspect_for: %v\n  tell_every: %v\n  sync_every: %v\n  rumour_life: %v\n",
@@ -302,7 +309,8 @@
 	}
 	var log io.Writer = io.Discard
 	if p.harness.Keep != "" {
-		f, err := os.OpenFile(filepath.Join(p.harness.Keep, fmt.Sprintf("g%04d.log", p.index)), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+		f, err := os.OpenFile(filepath.Join(p.harness.Keep, fmt.Sprintf("g%04d.log", p.index)),
+			os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return err
 		}
