--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -73,7 +73,7 @@
 	Ready    []time.Duration // startup times of gateways that were started again
 }
 
-// HomeResult is the result of the ops of the clients of one gateway.
+// GatewayResult is the result of the ops of the clients of one gateway.
 type HomeResult struct {
 	Value  float64
 	Earned float64
