--- a/internal/experiment/names_test.go
+++ b/internal/experiment/names_test.go
@@ -47,15 +47,16 @@
 	return strings.Join(all, " ")
 }
 
+// compare fails the test if got is not want.
 func compare(t *testing.T, what, got, want string) {
 	t.Helper()
 	if got != want {
-		t.Errorf("%s are\n%s\nand should be\n%s", what, got, want)
+		t.Errorf("%s: got\n%s\nwant\n%s", what, got, want)
 	}
 }
 
-// The keys of stored runs and results are read by later versions and by operators' tools; those of a world and its
-// faults enter the hash by which a stored run is found again.
+// Later versions and operators' tools read the keys of stored runs and results. The keys of a world and its
+// faults are part of the hash by which a stored run is found.
 func TestKeysOfStoredResults(t *testing.T) {
 	run := Run{Metrics: map[string]float64{}, Windows: []emulator.Window{{}}, Events: []emulator.Event{{}}, Stories: []emulator.Story{{}}}
 	compare(t, "the keys of a run", jsonKeys(t, run), "arm events events.At events.What key metrics seed stories stories.At stories.Gateway stories.Op stories.OpType "+
@@ -86,11 +87,11 @@
 	compare(t, "the keys of an arm", jsonKeys(t, emulator.Arm{}), "Gossip Policy")
 }
 
-// A stored run of an earlier build is found again by this hash. It changes only with emulator.Model.
-func TestHashOfARun(t *testing.T) {
+// A run that an earlier build has stored is found by this hash, so only a new emulator.Model may change it.
+func TestHashOfRunIsStable(t *testing.T) {
 	arm := Arm{Name: "a", World: emulator.World{Length: time.Second}, Faults: []emulator.Fault{{Kind: "hang", Size: 2}}, Decides: emulator.Arm{Policy: "two", Gossip: true}}
 	if got, want := arm.key(3), "b95bbcf2e4b68bc6"; got != want {
-		t.Errorf("the hash is %s and should be %s", got, want)
+		t.Errorf("key of the run: got %s, want %s", got, want)
 	}
 }
 
