--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -34,9 +34,9 @@
 // clients sends the planned ops to the gateways and collects the result.
 type clients struct {
 	world        *emulator.World
-	gateways     []string // addresses by index
-	pickGateway  func(home int) (index int)
-	marksRetries func(home int) bool // reports whether the clients of a gateway mark retries as such
+	gateways     []string                   // addresses by index
+	pickGateway  func(home int) (index int) // the load balancer, which the harness simulates
+	marksRetries func(home int) bool        // reports whether the clients of a gateway mark retries as such
 	plan         []plannedOp
 	start        time.Time
 	running      sync.WaitGroup
--- a/internal/loopback/fleet.go
+++ b/internal/loopback/fleet.go
@@ -218,7 +218,7 @@
 	s.fleet.mu.Lock()
 	handshake := time.Duration(float64(s.fleet.world.Servers.Handshake) / s.currentSpeed())
 	s.fleet.mu.Unlock()
-	time.Sleep(handshake) // the cost of answer new connection
+	time.Sleep(handshake) // the cost of a new connection
 	if _, err := conn.Write(pgwire.AppendStartupReply(nil)); err != nil {
 		return
 	}
--- a/internal/loopback/rig.go
+++ b/internal/loopback/rig.go
@@ -192,7 +192,7 @@
 
 // freeAddr returns an address whose port is free for TCP and UDP.
 func freeAddr() (string, error) {
-	// Each call uses another address of 127.0.0.0/8: the port has to stay free while the process is down, and other
+	// Each address has a host of its own in 127.0.0.0/8: the port has to stay free while the process is down, and other
 	// processes, and outgoing connections, take free ports of 127.0.0.1.
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>8%64, os.Getpid()&255, 1+allocatedAddrs.Add(1)%250)
 	for range 20 {
