--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -286,7 +286,7 @@
 	retryAfter time.Duration
 }
 
-// attempt sends an op once and waits for its answer.
+// attempt makes one attempt at an op: it sends the op to a gateway and waits for the answer.
 func (c *clients) attempt(p *plannedOp, attempt int) attemptOutcome {
 	sent := time.Now()
 	deadline := sent.Add(time.Duration(p.patience * float64(p.opType.Timeout)))
--- a/internal/loopback/endings_test.go
+++ b/internal/loopback/endings_test.go
@@ -22,8 +22,8 @@
 	return path
 }
 
-// Guards against gateway processes that break a rule, answer with an error or fail to restart while servers drain,
-// gateways restart or watches fall silent. The stand-in servers and the clients check the rules.
+// Guards against gateway processes that break a rule, mix up answers or fail to restart while servers drain, gateways
+// restart or watches fall silent. The stand-in servers and the clients check the rules.
 func TestRulesHoldDuringDrainsAndRestarts(t *testing.T) {
 	program := buildGateway(t)
 	for name, test := range map[string]struct {
--- a/internal/loopback/mixed_test.go
+++ b/internal/loopback/mixed_test.go
@@ -27,7 +27,7 @@
 }
 
 // runMixed runs a scenario in which a primary crashes and restarts cold, and primaries answer with errors.
-func runMixed(t *testing.T, program string, shape func(int, map[string]any) bool) *Result {
+func runMixed(t *testing.T, program string, changeSettings func(int, map[string]any) bool) *Result {
 	t.Helper()
 	w := emulator.Default()
 	w.Length = 6 * time.Second
@@ -41,7 +41,7 @@
 			w.OpTypes[i].Effect = "non_retryable"
 		}
 	}
-	res, err := Play(context.Background(), Day{World: w, Seed: 5, Program: program, Shape: shape, Faults: []emulator.Fault{
+	res, err := Play(context.Background(), Day{World: w, Seed: 5, Program: program, Shape: changeSettings, Faults: []emulator.Fault{
 		{Kind: "crash", At: 1500 * time.Millisecond, For: 1500 * time.Millisecond, Count: 1, Of: "primaries"},
 		{Kind: "error", At: time.Second, For: 4 * time.Second, Share: 1, Of: "primaries", Size: 0.3}}})
 	if err != nil {
@@ -50,22 +50,22 @@
 	return res
 }
 
-// serviceByShape returns the service of the clients of gateways with the old settings and with the new settings.
-func serviceByShape(res *Result) (byShape [2]float64) {
+// serviceBySettings returns the service of the clients of gateways with the old settings and with the new settings.
+func serviceBySettings(res *Result) (bySettings [2]float64) {
 	var value [2]float64
 	for i, h := range res.Homes {
 		value[i%2] += h.Value
-		byShape[i%2] += h.Earned
+		bySettings[i%2] += h.Earned
 	}
-	for i := range byShape {
-		byShape[i] /= max(1, value[i])
+	for i := range bySettings {
+		bySettings[i] /= max(1, value[i])
 	}
-	return byShape
+	return bySettings
 }
 
 // starved reports whether gateways with one kind of settings earn much less than the others.
-func starved(byShape [2]float64) bool {
-	return min(byShape[0], byShape[1]) < 0.75*max(byShape[0], byShape[1])
+func starved(bySettings [2]float64) bool {
+	return min(bySettings[0], bySettings[1]) < 0.75*max(bySettings[0], bySettings[1])
 }
 
 // Guards against a migration during which gateways with old and new settings, which use the same servers, break a rule
@@ -101,13 +101,13 @@
 				}
 				return marksRetries
 			})
-			byShape := serviceByShape(res)
-			t.Logf("service with old settings %.3f, with new settings %.3f; violations by rule %v", byShape[0], byShape[1], res.Broken)
+			bySettings := serviceBySettings(res)
+			t.Logf("service with old settings %.3f, with new settings %.3f; violations by rule %v", bySettings[0], bySettings[1], res.Broken)
 			if broken := res.RulesBroken() > 0; broken != test.broken {
 				t.Errorf("violations by rule: got %v, want any: %v: %q", res.Broken, test.broken, res.Stories)
 			}
-			if starved(byShape) != test.starve {
-				t.Errorf("got service %.3f with old settings and %.3f with new settings, want one starved: %v", byShape[0], byShape[1], test.starve)
+			if starved(bySettings) != test.starve {
+				t.Errorf("got service %.3f with old settings and %.3f with new settings, want one starved: %v", bySettings[0], bySettings[1], test.starve)
 			}
 		})
 	}
