--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// JSON is the result as one object.
+// JSON returns the result as one JSON object.
 func (r *Result) JSON() []byte {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -17,7 +17,7 @@
 	return append(text, '\n')
 }
 
-// mainMetrics are those that tables show; the rest is in the JSON.
+// mainMetrics returns the metrics that tables show. The JSON has all of them.
 func (r *Result) mainMetrics() []string {
 	names := []string{"service", "worst10", "worst_type", "sends_per_op", "busy_share", "probes_per_op", "rules_broken"}
 	for _, m := range []string{"gossip_bytes", "gossip_worst", "gossip_false_deaths"} {
@@ -31,23 +31,24 @@
 	return names
 }
 
-// Table is the result as Markdown: arms by metrics with their intervals, and what was expected.
+// Table returns the result as Markdown: a table of metrics by arm with confidence intervals, the expectations, and rule
+// violations.
 func (r *Result) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n", r.Name)
-	if r.file.About != "" {
-		fmt.Fprintf(&b, "%s\n\n", strings.TrimSpace(r.file.About))
+	if r.source.About != "" {
+		fmt.Fprintf(&b, "%s\n\n", strings.TrimSpace(r.source.About))
 	}
-	w := &r.file.World
+	w := &r.source.World
 	fmt.Fprintf(&b, "Emulated: %d gateways, %d groups of %d servers, %v, seeds %d to %d. Means over the seeds; the interval holds 95 of 100\n"+
 		"such means, by bootstrap.\n\n", w.Gateways.Count, w.Servers.Groups, w.Servers.Members, w.Length, r.Seeds[0], r.Seeds[len(r.Seeds)-1])
 	metrics := r.mainMetrics()
 	fmt.Fprintf(&b, "| arm | %s |\n| --- |%s\n", strings.Join(metrics, " | "), strings.Repeat(" --- |", len(metrics)))
 	for _, arm := range r.Order {
-		fmt.Fprintf(&b, "| %s |", r.file.Arm(arm).Label)
+		fmt.Fprintf(&b, "| %s |", r.source.Arm(arm).Label)
 		for _, m := range metrics {
 			if f, ok := r.Arms[arm][m]; ok {
-				fmt.Fprintf(&b, " %s |", f.text(decimals(m)))
+				fmt.Fprintf(&b, " %s |", f.format(decimals(m)))
 			} else {
 				b.WriteString(" - |")
 			}
@@ -73,39 +74,40 @@
 	return b.String()
 }
 
-// text is a figure with its interval.
-func (f Figure) text(decimals int) string {
+// format returns the mean with its confidence interval as text.
+func (f Figure) format(decimals int) string {
 	if f.Low == f.High {
 		return fmt.Sprintf("%.*f", decimals, f.Mean)
 	}
 	return fmt.Sprintf("%.*f (%.*f to %.*f)", decimals, f.Mean, decimals, f.Low, decimals, f.High)
 }
 
-// write keeps the result in a folder: the object, the table, the charts.
-func (r *Result) write(dir string) error {
-	if err := replace(filepath.Join(dir, "result.json"), r.JSON()); err != nil {
+// writeFiles writes the result to a folder as JSON, table and charts.
+func (r *Result) writeFiles(dir string) error {
+	if err := writeFileAtomically(filepath.Join(dir, "result.json"), r.JSON()); err != nil {
 		return err
 	}
-	if err := replace(filepath.Join(dir, "README.md"), []byte(r.Table()+r.pictures())); err != nil {
+	if err := writeFileAtomically(filepath.Join(dir, "README.md"), []byte(r.Table()+r.chartLinks())); err != nil {
 		return err
 	}
-	for i := range r.file.Charts {
-		if err := r.draw(&r.file.Charts[i], dir); err != nil {
-			return fmt.Errorf("chart %s: %w", r.file.Charts[i].Name, err)
+	for i := range r.source.Charts {
+		if err := r.drawChart(&r.source.Charts[i], dir); err != nil {
+			return fmt.Errorf("chart %s: %w", r.source.Charts[i].Name, err)
 		}
 	}
 	return nil
 }
 
-func (r *Result) pictures() string {
+// chartLinks returns Markdown that shows the charts.
+func (r *Result) chartLinks() string {
 	var b strings.Builder
-	for _, c := range r.file.Charts {
+	for _, c := range r.source.Charts {
 		fmt.Fprintf(&b, "\n![%s](%s.svg)\n", c.Title, c.Name)
 	}
 	return b.String()
 }
 
-// Open reads a result that a folder keeps, with its runs.
+// Open reads a stored result and its runs from a folder.
 func Open(dir string) (*Result, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "result.json"))
 	if err != nil {
@@ -123,7 +125,7 @@
 			if err == nil {
 				err = json.Unmarshal(text, run)
 			}
-			if err != nil { // results can be kept without their runs, which are many
+			if err != nil { // results may be stored without their many runs
 				runs = nil
 				break
 			}
--- a/internal/loopback/check.go
+++ b/internal/loopback/check.go
@@ -8,112 +8,122 @@
 	"gorsewell/internal/emulator"
 )
 
-// checker watches the rules as far as stand-ins see them: what came in, what took effect twice, what was answered from data too old, what came to a draining server. Rule 1 is the clients' to check.
+// checker checks rules 2, 3 and 5 from what the stand-in servers see: writes that take effect twice, ops that arrive at
+// a draining server, and answers from data that is too old. It also collects the events of a run. The clients check
+// rule 1.
 type checker struct {
-	w     *emulator.World
+	world *emulator.World
 	start time.Time
 
-	mu      sync.Mutex
-	effects map[uint64]int
-	told    map[*server]time.Time // when it was listed as draining or gone
-	broken  [5]int64
-	stories []string
-	events  []Event
-	sends   int64
-	readAt  map[*job]int64
-	late    time.Duration // after which a change counts as told, since watches fell silent
-
-	restarts []time.Duration // that instances took to be ready
+	mu            sync.Mutex
+	effects       map[uint64]int        // how often each op took effect
+	drainListedAt map[*server]time.Time // when the server was listed as draining or gone
+	violations    [5]int64              // by rule
+	stories       []string              // descriptions of the first violations
+	events        []Event
+	sends         int64
+	readPositions map[*job]int64 // position of the server when work on the job began
+	listDelay     time.Duration  // time from a change of the list until it counts as known; 0 until watches fall silent
+
+	startupTimes []time.Duration // of gateways that were started again
 }
 
-// Event is something that happened in a day.
+// Event is something that happened during a run, such as the start of a fault.
 type Event struct {
 	At   time.Duration
 	What string
 }
 
-const mostStories = 12
+const maxStories = 12 // violations that are described in full; all are counted
 
 func newChecker(w *emulator.World) *checker {
-	return &checker{w: w, start: time.Now(), effects: map[uint64]int{}, told: map[*server]time.Time{}, readAt: map[*job]int64{}}
+	return &checker{world: w, start: time.Now(), effects: map[uint64]int{}, drainListedAt: map[*server]time.Time{},
+		readPositions: map[*job]int64{}}
 }
 
+// event records something that happened.
 func (c *checker) event(format string, args ...any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.events = append(c.events, Event{time.Since(c.start), fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) broke(rule int, format string, args ...any) {
-	c.broken[rule-1]++
-	if len(c.stories) < mostStories {
-		c.stories = append(c.stories, fmt.Sprintf("rule %d after %v: ", rule, time.Since(c.start).Round(time.Millisecond))+fmt.Sprintf(format, args...))
+// violation counts a violation of a rule and records its description. The caller holds the lock.
+func (c *checker) violation(rule int, format string, args ...any) {
+	c.violations[rule-1]++
+	if len(c.stories) < maxStories {
+		c.stories = append(c.stories,
+			fmt.Sprintf("rule %d after %v: ", rule, time.Since(c.start).Round(time.Millisecond))+fmt.Sprintf(format, args...))
 	}
 }
 
-// arrived: a send's last byte has come.
-func (c *checker) arrived(s *server, j *job) {
+// opArrived records that a send has arrived in full and checks rule 3.
+func (c *checker) opArrived(s *server, j *job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sends++
-	if at, ok := c.told[s]; ok && time.Since(at) > c.w.Rules.Grace+c.w.Rules.Slack {
-		c.broke(3, "op %s came to server %d, %v after it was told that this drains", j.id, s.num, time.Since(at).Round(time.Millisecond))
+	if at, ok := c.drainListedAt[s]; ok && time.Since(at) > c.world.Rules.Grace+c.world.Rules.Slack {
+		c.violation(3, "op %s came to server %d, %v after it was told that this drains", j.id, s.num,
+			time.Since(at).Round(time.Millisecond))
 	}
 }
 
-// began: the work has begun, on data as of a position.
-func (c *checker) began(s *server, j *job, position int64) {
+// workStarted records the position of the server when work on the job starts.
+func (c *checker) workStarted(s *server, j *job, position int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readAt[j] = position
+	c.readPositions[j] = position
 }
 
-// effect: a write has taken effect.
-func (c *checker) effect(s *server, j *job) {
+// writeApplied records that a write has taken effect and checks rule 2.
+func (c *checker) writeApplied(s *server, j *job) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.effects[j.op]++; c.effects[j.op] > 1 && j.t.Effect == "non_retryable" {
-		c.broke(2, "op %s took effect twice", j.id)
+	if c.effects[j.op]++; c.effects[j.op] > 1 && j.opType.Effect == "non_retryable" {
+		c.violation(2, "op %s took effect twice", j.id)
 	}
 }
 
-// answered: the answer is about to be written.
-func (c *checker) answered(s *server, j *job, a answer) {
+// answerReady checks rule 5 just before the answer is written.
+func (c *checker) answerReady(s *server, j *job, a answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, worked := c.readAt[j]
-	delete(c.readAt, j)
-	if a.code == "" && !a.reset && worked && !j.write && j.after > 0 && at < j.after && c.w.Reports.Checks == "none" {
-		// On time by the send's own moment; an answer that comes after its client has left is nobody's answer.
-		if time.Since(j.sentAt) < j.t.Timeout {
-			c.broke(5, "op %s was read by server %d from data %d ms too old", j.id, s.num, j.after-at)
+	at, worked := c.readPositions[j]
+	delete(c.readPositions, j)
+	if a.code == "" && !a.reset && worked && !j.write && j.minPosition > 0 && at < j.minPosition && c.world.Reports.Checks == "none" {
+		// An answer after the op timeout of this send does not count, because its client has left.
+		if time.Since(j.sentAt) < j.opType.Timeout {
+			c.violation(5, "op %s was read by server %d from data %d ms too old", j.id, s.num, j.minPosition-at)
 		}
 	}
 }
 
-// listed: the list has told all who watch.
-func (c *checker) listed(s *server, state string) {
+// stateListed records that the state of a server has changed in the list and that open watches are answered.
+func (c *checker) stateListed(s *server, state string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == "in_service" {
-		delete(c.told, s)
+		delete(c.drainListedAt, s)
 	} else {
-		c.told[s] = time.Now().Add(c.late)
+		c.drainListedAt[s] = time.Now().Add(c.listDelay)
 	}
 }
 
-// toldWithin is how long after a change it counts as told, whatever befell the watches.
-const toldWithin = 6 * time.Second
+// maxPropagationDelay is the time after a change of the list by which each gateway must know it, even if all watches
+// have fallen silent.
+const maxPropagationDelay = 6 * time.Second
 
-// silent: all watches have fallen silent. Each gateway opens another in its own time.
-func (c *checker) silent() {
+// watchesSilenced records that all open watches have fallen silent. Each gateway opens a new one at a time of its own,
+// so a later change counts as known only after maxPropagationDelay.
+func (c *checker) watchesSilenced() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.late = toldWithin
+	c.listDelay = maxPropagationDelay
 }
 
-func (c *checker) ready(took time.Duration) {
+// gatewayReady records how long a gateway that was started again took until it was ready.
+func (c *checker) gatewayReady(took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.restarts = append(c.restarts, took)
+	c.startupTimes = append(c.startupTimes, took)
 }
--- a/internal/loopback/fleet.go
+++ b/internal/loopback/fleet.go
@@ -1,6 +1,7 @@
-// Package loopback plays a deployment on sockets of 127.0.0.0/8: stand-in servers with queues, cores, a log that replicas
-// apply and failover, a list service, clients that ask with intended start times, and gateways, each a process of its own. It
-// takes the same description of a world as the emulator, so that a day can be played in both and compared.
+// Package loopback runs a deployment on sockets of 127.0.0.0/8: stand-in database servers with queues, cores, a
+// replicated log and failover, a stand-in discovery service, clients that send ops at times drawn beforehand, and
+// gateways, each a process of its own. It takes the same description of a world as the emulator, so that both can run
+// it and their results can be compared.
 package loopback
 
 import (
@@ -16,101 +17,104 @@
 	"gorsewell/internal/pgwire"
 )
 
-// fleet is the servers of a world.
+// fleet holds the stand-in servers of a world.
 type fleet struct {
-	w     *emulator.World
-	seed  uint64
-	check *checker
-	lists *discovery
+	world     *emulator.World
+	seed      uint64
+	checker   *checker
+	discovery *discovery
 
-	mu      sync.Mutex // guards all below and in the servers; held for moments only
+	mu      sync.Mutex // guards all fields below and the state of the servers and groups; only held briefly
 	servers []*server
 	groups  []*group
 	closed  bool
-	conns   sync.WaitGroup
+	running sync.WaitGroup // accept loops and connections
 }
 
+// group is a primary and its replicas.
 type group struct {
-	f       *fleet
-	members []*server
-	primary *server
-	lostAt  int64 // Unix milliseconds
-	term    int
-	tokens  map[string]*token
+	fleet         *fleet
+	members       []*server
+	primary       *server // nil during an election
+	primaryLostAt int64   // time at which the last primary was lost, Unix milliseconds
+	term          int     // incremented by each election and when the process of the primary starts again
+	tokens        map[string]*token
 }
 
-// token is what a group remembers of a tokened op.
+// token is a group's record of a tokened op.
 type token struct {
-	seen, at time.Time
-	done     bool
-	commit   int64
-	open     int
+	lastSeen  time.Time
+	committed bool
+	position  int64 // of the commit
+	pending   int   // jobs with this token that are queued or running
 }
 
 // server is one stand-in database server.
 type server struct {
-	f     *fleet
-	num   int
+	fleet *fleet
+	num   int // from 1
 	group *group
 	zone  int
 	addr  string
 	speed float64
 	cores int
 
-	l        net.Listener // nil while it is down
-	life     int
-	live     map[net.Conn]struct{}
-	started  time.Time // zero: long ago
-	draining bool
-	hung     bool
-	refuses  bool
-	slow     float64
-	fails    float64
-	slowLog  float64
-
-	busy    int
-	queue   []*job
-	stuck   []func()
-	backlog []int64
-	applied int64
-	apply   bool
+	listener      net.Listener // nil while it is down
+	generation    int          // number of ended processes; work of an earlier generation is discarded
+	conns         map[net.Conn]struct{}
+	started       time.Time // zero if it has run for so long that it is not cold
+	draining      bool
+	hung          bool
+	refusing      bool    // it answers every op with SQLSTATE 53300
+	slowdown      float64 // factor on all work; 1 without a fault
+	errorShare    float64 // fraction of ops that fail after their work
+	applySlowdown float64 // factor on the time that the log takes to apply; 1 without a fault
+
+	busy      int // cores in use
+	queue     []*job
+	suspended []func() // what to do once the server no longer hangs
+	backlog   []int64  // positions of commits that have arrived but are not applied
+	applied   int64    // position of the last applied commit
+	applying  bool
 }
 
 // job is one query at a server.
 type job struct {
-	s      *server
-	life   int
-	id     string
-	op     uint64 // the client's request
-	try    int
-	t      *emulator.OpType
-	write  bool
-	after  int64 // position to see, Unix milliseconds; 0: any
-	token  *token
-	key    string
-	sentAt time.Time
-	done   chan answer
+	server      *server
+	generation  int // of the server when the query arrived
+	id          string
+	op          uint64 // number of the client's op
+	attempt     int    // number of the client's attempt
+	opType      *emulator.OpType
+	write       bool
+	minPosition int64 // position that a read must see, Unix milliseconds; 0 if any
+	token       *token
+	tokenKey    string
+	sentAt      time.Time
+	done        chan answer
 }
 
-// answer is what a server says; code is empty for a value.
+// answer is a server's answer to a query.
 type answer struct {
-	code    string
-	value   string
-	role    string
-	applied int64
-	reset   bool
+	code     string // SQLSTATE; empty for a value
+	value    string
+	role     string
+	position int64 // of the server, or of the commit for a write with a token
+	reset    bool  // the connection ends without an answer
 }
 
-func newFleet(w *emulator.World, seed uint64, check *checker) (*fleet, error) {
-	f := &fleet{w: w, seed: seed, check: check}
-	f.lists = newDiscovery(f)
+// newFleet starts all servers and fills the list.
+func newFleet(w *emulator.World, seed uint64, checker *checker) (*fleet, error) {
+	f := &fleet{world: w, seed: seed, checker: checker}
+	f.discovery = newDiscovery(f)
 	for i := range w.Servers.Groups {
-		g := &group{f: f, tokens: map[string]*token{}}
+		g := &group{fleet: f, tokens: map[string]*token{}}
 		f.groups = append(f.groups, g)
 		for j := range w.Servers.Members {
-			k := w.Servers.Kinds[i%len(w.Servers.Kinds)]
-			s := &server{f: f, num: len(f.servers) + 1, group: g, zone: (i + j) % w.Zones, cores: k.Cores, speed: k.Speed, slow: 1, slowLog: 1,
-				live: map[net.Conn]struct{}{}, applied: time.Now().UnixMilli()}
+			kind := w.Servers.Kinds[i%len(w.Servers.Kinds)]
+			s := &server{fleet: f, num: len(f.servers) + 1, group: g, zone: (i + j) % w.Zones, cores: kind.Cores,
+				speed: kind.Speed, slowdown: 1, applySlowdown: 1,
+				conns: map[net.Conn]struct{}{}, applied: time.Now().UnixMilli()}
 			f.servers = append(f.servers, s)
 			g.members = append(g.members, s)
 			if err := s.listen(); err != nil {
@@ -119,72 +123,73 @@
 		}
 		g.primary = g.members[0]
 	}
-	f.lists.begin()
+	f.discovery.init()
 	return f, nil
 }
 
+// close ends all servers and waits for their connections.
 func (f *fleet) close() error {
 	f.mu.Lock()
 	f.closed = true
 	for _, s := range f.servers {
-		s.down()
+		s.shutDown()
 	}
 	f.mu.Unlock()
-	f.conns.Wait()
+	f.running.Wait()
 	return nil
 }
 
-// listen takes connections at the server's own address. The lock is not needed before the day begins.
+// listen accepts connections at the server's own address. The caller holds the lock, except while the fleet is set up.
 func (s *server) listen() error {
-	at := s.addr
-	if at == "" {
-		at = fmt.Sprintf("127.%d.%d.%d:0", 10+s.num>>16&0x7f, s.num>>8&0xff, s.num&0xff)
+	addr := s.addr
+	if addr == "" {
+		addr = fmt.Sprintf("127.%d.%d.%d:0", 10+s.num>>16&0x7f, s.num>>8&0xff, s.num&0xff)
 	}
-	l, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
 	}
-	s.addr, s.l = l.Addr().String(), l
-	life := s.life
-	s.f.conns.Go(func() {
+	s.addr, s.listener = listener.Addr().String(), listener
+	generation := s.generation
+	s.fleet.running.Go(func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.f.mu.Lock()
-			fits := s.life == life && !s.f.closed && (s.f.w.Servers.Conns == 0 || len(s.live) < s.f.w.Servers.Conns)
-			if fits {
-				s.live[c] = struct{}{}
+			s.fleet.mu.Lock()
+			accepted := s.generation == generation && !s.fleet.closed && (s.fleet.world.Servers.Conns == 0 || len(s.conns) < s.fleet.world.Servers.Conns)
+			if accepted {
+				s.conns[conn] = struct{}{}
 			}
-			s.f.mu.Unlock()
-			if !fits {
-				c.Close()
+			s.fleet.mu.Unlock()
+			if !accepted {
+				conn.Close()
 				continue
 			}
-			s.f.conns.Go(func() {
-				s.serve(c, life)
-				c.Close()
-				s.f.mu.Lock()
-				delete(s.live, c)
-				s.f.mu.Unlock()
+			s.fleet.running.Go(func() {
+				s.serve(conn, generation)
+				conn.Close()
+				s.fleet.mu.Lock()
+				delete(s.conns, conn)
+				s.fleet.mu.Unlock()
 			})
 		}
 	})
 	return nil
 }
 
-// down ends the process: connections are reset, new ones refused. The lock is held.
-func (s *server) down() {
-	if s.l == nil {
+// shutDown simulates the end of the process: connections are reset and new ones refused. The caller holds the lock.
+func (s *server) shutDown() {
+	if s.listener == nil {
 		return
 	}
 	s.applied = s.position()
-	s.l.Close()
-	s.l = nil
-	s.life++
-	s.busy, s.queue, s.stuck, s.backlog, s.apply, s.hung = 0, nil, nil, nil, false, false
-	for c := range s.live {
+	s.listener.Close()
+	s.listener = nil
+	s.generation++
+	s.busy, s.queue, s.suspended, s.backlog, s.applying, s.hung = 0, nil, nil, nil, false, false
+	for c := range s.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
@@ -192,58 +197,58 @@
 	}
 }
 
-// serve answers one connection.
-func (s *server) serve(c net.Conn, life int) {
-	var w pgwire.ReadBuffer
+// serve handles one connection.
+func (s *server) serve(conn net.Conn, generation int) {
+	var buffer pgwire.ReadBuffer
 	read := func() bool {
-		n, err := c.Read(w.Space())
-		w.Filled(n)
+		n, err := conn.Read(buffer.Space())
+		buffer.Filled(n)
 		return err == nil || n > 0
 	}
 	for size := 0; size == 0; {
 		var err error
-		if _, size, err = pgwire.ParseStartup(w.Bytes()); err != nil || size == 0 && !read() {
+		if _, size, err = pgwire.ParseStartup(buffer.Bytes()); err != nil || size == 0 && !read() {
 			return
 		}
-		w.Discard(size)
+		buffer.Discard(size)
 	}
-	if s.waitWhileHung(life) {
+	if s.waitWhileHung(generation) {
 		return
 	}
-	s.f.mu.Lock()
-	handshake := time.Duration(float64(s.f.w.Servers.Handshake) / s.pace())
-	s.f.mu.Unlock()
-	time.Sleep(handshake) // what a new connection costs
-	if _, err := c.Write(pgwire.AppendStartupReply(nil)); err != nil {
+	s.fleet.mu.Lock()
+	handshake := time.Duration(float64(s.fleet.world.Servers.Handshake) / s.currentSpeed())
+	s.fleet.mu.Unlock()
+	time.Sleep(handshake) // the cost of a new connection
+	if _, err := conn.Write(pgwire.AppendStartupReply(nil)); err != nil {
 		return
 	}
 	for {
-		m, ok, err := w.Next()
+		message, ok, err := buffer.Next()
 		switch {
 		case err != nil || !ok && !read():
 			return
 		case !ok:
 			continue
-		case m.Type != pgwire.Query:
+		case message.Type != pgwire.Query:
 			return
 		}
-		text := string(m.Body[:len(m.Body)-1])
-		a := s.query(text, life)
-		if a.reset {
+		text := string(message.Body[:len(message.Body)-1])
+		answer := s.query(text, generation)
+		if answer.reset {
 			return
 		}
-		if _, err := c.Write(a.bytes()); err != nil {
+		if _, err := conn.Write(answer.encode()); err != nil {
 			return
 		}
 	}
 }
 
-// waitWhileHung waits until the server goes on; true if it ended instead.
-func (s *server) waitWhileHung(life int) bool {
+// waitWhileHung waits until the server no longer hangs. The result is true if the process has ended instead.
+func (s *server) waitWhileHung(generation int) bool {
 	for {
-		s.f.mu.Lock()
-		hung, ended := s.hung, s.life != life
-		s.f.mu.Unlock()
+		s.fleet.mu.Lock()
+		hung, ended := s.hung, s.generation != generation
+		s.fleet.mu.Unlock()
 		if ended || !hung {
 			return ended
 		}
@@ -251,8 +256,8 @@
 	}
 }
 
-// bytes is the answer on the wire.
-func (a answer) bytes() []byte {
+// encode returns the messages of the answer on the wire.
+func (a answer) encode() []byte {
 	var b []byte
 	if a.code != "" {
 		b = pgwire.AppendError(nil, "ERROR", a.code, "as the stand-in has it", "")
@@ -260,207 +265,212 @@
 		n := len(a.value)
 		b = pgwire.AppendMessage(nil, pgwire.RowDescription,
 			"\x00\x01data\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
-		b = pgwire.AppendMessage(b, pgwire.DataRow, "\x00\x01", string([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}), a.value)
+		b = pgwire.AppendMessage(b, pgwire.DataRow, "\x00\x01",
+			string([]byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}), a.value)
 		b = pgwire.AppendMessage(b, pgwire.CommandComplete, "SELECT 1\x00")
 	}
 	if a.role != "" {
 		b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "role\x00", a.role, "\x00")
-		b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "applied_ms\x00", strconv.FormatInt(a.applied, 10), "\x00")
+		b = pgwire.AppendMessage(b, pgwire.ParameterStatus, "applied_ms\x00", strconv.FormatInt(a.position, 10), "\x00")
 	}
 	return pgwire.AppendReady(b)
 }
 
-// fields reads the comment of a statement.
-func fields(text string) map[string]string {
+// parseComment returns the fields in the comment of a statement, or nil if it has no comment.
+func parseComment(text string) map[string]string {
 	_, rest, ok := strings.Cut(text, "/*")
 	body, _, ok2 := strings.Cut(rest, "*/")
 	if !ok || !ok2 {
 		return nil
 	}
-	all := map[string]string{}
+	fields := map[string]string{}
 	for part := range strings.SplitSeq(body, ",") {
 		if name, value, ok := strings.Cut(strings.TrimSpace(part), "="); ok {
-			all[name] = value
+			fields[name] = value
 		}
 	}
-	return all
+	return fields
 }
 
-// query takes one query and waits for its answer.
-func (s *server) query(text string, life int) answer {
+// query handles one query and waits for its answer.
+func (s *server) query(text string, generation int) answer {
 	switch text {
 	case "":
 		return answer{code: "00000"}
 	case "SHOW load":
-		if s.waitWhileHungProbe(life) {
+		if s.waitProbeWhileHung(generation) {
 			return answer{reset: true}
 		}
-		s.f.mu.Lock()
-		defer s.f.mu.Unlock()
+		s.fleet.mu.Lock()
+		defer s.fleet.mu.Unlock()
 		role := 0
 		if s.group.primary == s {
 			role = 1
 		}
 		return answer{value: fmt.Sprintf("x0=%.3f,x1=%d", float64(s.position())/1000, role)}
 	}
-	v := fields(text)
-	id := v["id"]
+	fields := parseComment(text)
+	id := fields["id"]
 	var op uint64
-	var try int
-	if _, err := fmt.Sscanf(id, "%x.%d", &op, &try); err != nil {
+	var attempt int
+	if _, err := fmt.Sscanf(id, "%x.%d", &op, &attempt); err != nil {
 		return answer{code: "08P01"}
 	}
-	j := &job{s: s, life: life, id: id, op: op, try: try, key: v["k"], sentAt: time.Now(), done: make(chan answer, 1)}
-	for i := range s.f.w.OpTypes {
-		if t := &s.f.w.OpTypes[i]; t.Name == v["c"] {
-			j.t = t
+	j := &job{server: s, generation: generation, id: id, op: op, attempt: attempt, tokenKey: fields["k"],
+		sentAt: time.Now(), done: make(chan answer, 1)}
+	for i := range s.fleet.world.OpTypes {
+		if t := &s.fleet.world.OpTypes[i]; t.Name == fields["c"] {
+			j.opType = t
 		}
 	}
-	if j.t == nil {
+	if j.opType == nil {
 		return answer{code: "08P01"}
 	}
-	j.write = j.t.Need == "write"
-	switch j.t.Need {
+	j.write = j.opType.Need == "write"
+	switch j.opType.Need {
 	case "session":
-		j.after, _ = strconv.ParseInt(v["after"], 10, 64)
+		j.minPosition, _ = strconv.ParseInt(fields["after"], 10, 64)
 	case "bounded":
-		j.after = j.sentAt.Add(-j.t.Bound).UnixMilli()
+		j.minPosition = j.sentAt.Add(-j.opType.Bound).UnixMilli()
 	}
-	s.f.check.arrived(s, j)
-	s.f.mu.Lock()
-	s.arrive(j)
-	s.f.mu.Unlock()
+	s.fleet.checker.opArrived(s, j)
+	s.fleet.mu.Lock()
+	s.admit(j)
+	s.fleet.mu.Unlock()
 	a := <-j.done
-	s.f.check.answered(s, j, a)
+	s.fleet.checker.answerReady(s, j, a)
 	return a
 }
 
-// waitWhileHungProbe is for probes: a server that hangs may still answer them.
-func (s *server) waitWhileHungProbe(life int) bool {
-	if s.f.w.Reports.OnHung {
+// waitProbeWhileHung is waitWhileHung for probes, which a hung server may still answer.
+func (s *server) waitProbeWhileHung(generation int) bool {
+	if s.fleet.world.Reports.OnHung {
 		return false
 	}
-	return s.waitWhileHung(life)
+	return s.waitWhileHung(generation)
 }
 
-// ramp and pace are as in the emulator. The lock is held.
-func (s *server) ramp() float64 {
+// warmUpFactor returns the fraction of its full speed that a cold server has reached, as in the emulator. The caller
+// holds the lock.
+func (s *server) warmUpFactor() float64 {
 	if s.started.IsZero() {
 		return 1
 	}
-	c := &s.f.w.Servers
+	c := &s.fleet.world.Servers
 	return min(1, c.ColdFrom+(1-c.ColdFrom)*float64(time.Since(s.started))/float64(max(1, c.ColdTime)))
 }
 
-func (s *server) pace() float64 { return s.speed * s.ramp() / s.slow }
+// currentSpeed returns the speed at which the server works now, as in the emulator. The caller holds the lock.
+func (s *server) currentSpeed() float64 { return s.speed * s.warmUpFactor() / s.slowdown }
 
-// position is how far the server's data reach. The lock is held.
+// position returns the position in the log that the server's data have reached. The caller holds the lock.
 func (s *server) position() int64 {
 	now := time.Now().UnixMilli()
-	ship := s.f.w.Log.Ship.Milliseconds()
-	p := s.group.primary
+	shipTime := s.fleet.world.Log.Ship.Milliseconds()
+	primary := s.group.primary
 	switch {
-	case p == s:
+	case primary == s:
 		return now
 	case len(s.backlog) > 0:
 		return max(s.applied, s.backlog[0]-1)
-	case p != nil && p.l != nil && !p.hung:
-		return max(s.applied, now-ship)
+	case primary != nil && primary.listener != nil && !primary.hung:
+		return max(s.applied, now-shipTime)
 	}
-	return max(s.applied, s.group.lostAt-ship)
+	return max(s.applied, s.group.primaryLostAt-shipTime)
 }
 
-// arrive takes a job whose last byte has come. The lock is held.
-func (s *server) arrive(j *job) {
+// admit accepts or rejects a job that has arrived in full. The caller holds the lock.
+func (s *server) admit(j *job) {
 	switch {
-	case s.life != j.life:
+	case s.generation != j.generation:
 		j.done <- answer{reset: true}
 	case s.hung:
-		s.stuck = append(s.stuck, func() { s.arrive(j) })
-	case s.draining || s.refuses:
+		s.suspended = append(s.suspended, func() { s.admit(j) })
+	case s.draining || s.refusing:
 		s.reply(j, "53300")
 	case j.write && s.group.primary != s:
 		s.reply(j, "25006")
-	case !j.write && s.f.w.Reports.Checks == "refuses" && s.group.primary != s && j.after > s.position():
+	case !j.write && s.fleet.world.Reports.Checks == "refuses" && s.group.primary != s && j.minPosition > s.position():
 		s.reply(j, "72000")
-	case s.busy >= s.cores && len(s.queue) >= s.f.w.Servers.Queue*s.cores:
+	case s.busy >= s.cores && len(s.queue) >= s.fleet.world.Servers.Queue*s.cores:
 		s.reply(j, "53300")
 	default:
-		s.group.comes(j)
-		s.begin(j)
+		s.group.trackToken(j)
+		s.startWork(j)
 	}
 }
 
-// comes notes that a tokened op has come in. The lock is held.
-func (g *group) comes(j *job) {
-	if !j.write || j.t.Effect != "tokened" || j.key == "" {
+// trackToken records a job of a tokened write under its token. The caller holds the lock.
+func (g *group) trackToken(j *job) {
+	if !j.write || j.opType.Effect != "tokened" || j.tokenKey == "" {
 		return
 	}
-	k := g.tokens[j.key]
-	if k == nil || k.open == 0 && time.Since(k.seen) > j.t.Window {
-		k = &token{}
-		g.tokens[j.key] = k
+	t := g.tokens[j.tokenKey]
+	if t == nil || t.pending == 0 && time.Since(t.lastSeen) > j.opType.Window {
+		t = &token{}
+		g.tokens[j.tokenKey] = t
 	}
-	k.seen = time.Now()
-	k.open++
-	j.token = k
+	t.lastSeen = time.Now()
+	t.pending++
+	j.token = t
 	if len(g.tokens) > 4096 {
 		for key, old := range g.tokens {
-			if old.open == 0 && time.Since(old.seen) > 2*j.t.Window {
+			if old.pending == 0 && time.Since(old.lastSeen) > 2*j.opType.Window {
 				delete(g.tokens, key)
 			}
 		}
 	}
 }
 
-// begin lets a job work, or wait for a core. The lock is held.
-func (s *server) begin(j *job) {
+// startWork starts the work of a job, or queues the job if no core is free. The caller holds the lock.
+func (s *server) startWork(j *job) {
 	if s.busy >= s.cores {
 		s.queue = append(s.queue, j)
 		return
 	}
 	s.busy++
-	s.f.check.began(s, j, s.position())
-	work := j.t.Draw(s.f.seed, j.op, j.try, s.num)
-	time.AfterFunc(time.Duration(float64(work)/s.pace()), func() {
-		s.f.mu.Lock()
-		defer s.f.mu.Unlock()
-		s.finish(j)
+	s.fleet.checker.workStarted(s, j, s.position())
+	work := j.opType.Draw(s.fleet.seed, j.op, j.attempt, s.num)
+	time.AfterFunc(time.Duration(float64(work)/s.currentSpeed()), func() {
+		s.fleet.mu.Lock()
+		defer s.fleet.mu.Unlock()
+		s.finishWork(j)
 	})
 }
 
-// finish ends a job's work. The lock is held.
-func (s *server) finish(j *job) {
+// finishWork ends the work of a job, starts queued jobs and answers. The caller holds the lock.
+func (s *server) finishWork(j *job) {
 	switch {
-	case s.life != j.life:
+	case s.generation != j.generation:
 		j.done <- answer{reset: true}
 		return
 	case s.hung:
-		s.stuck = append(s.stuck, func() { s.finish(j) })
+		s.suspended = append(s.suspended, func() { s.finishWork(j) })
 		return
 	}
 	s.busy--
 	for len(s.queue) > 0 && s.busy < s.cores {
 		next := s.queue[0]
 		s.queue = s.queue[1:]
-		s.begin(next)
+		s.startWork(next)
 	}
-	failed := s.fails > 0 && emulator.Chance(s.f.seed, 0xfa17, j.op, uint64(j.try), uint64(s.num)) < s.fails
+	failed := s.errorShare > 0 &&
+		emulator.Chance(s.fleet.seed, 0xfa17, j.op, uint64(j.attempt), uint64(s.num)) < s.errorShare
 	if j.token != nil {
-		j.token.open--
+		j.token.pending--
 	}
 	if j.write {
 		if s.group.primary != s {
 			s.reply(j, "XX000")
 			return
 		}
-		if j.token == nil || !j.token.done {
-			commit := time.Now().UnixMilli()
+		if j.token == nil || !j.token.committed {
+			position := time.Now().UnixMilli()
 			if j.token != nil {
-				j.token.done, j.token.commit = true, commit
+				j.token.committed, j.token.position = true, position
 			}
-			s.f.check.effect(s, j)
-			s.group.commit(commit)
+			s.fleet.checker.writeApplied(s, j)
+			s.group.replicate(position)
 		}
 	}
 	if failed {
@@ -470,150 +480,151 @@
 	s.reply(j, "")
 }
 
-// reply answers. The lock is held.
+// reply answers a job, with a value if the code is empty. The caller holds the lock.
 func (s *server) reply(j *job, code string) {
-	a := answer{code: code, role: "replica", applied: s.position()}
+	a := answer{code: code, role: "replica", position: s.position()}
 	if s.group.primary == s {
 		a.role = "primary"
 	}
 	if code == "" {
 		a.value = fmt.Sprintf("%s by %d", j.id, s.num)
 		if j.write && j.token != nil {
-			a.applied = j.token.commit
+			a.position = j.token.position
 		}
 	}
 	j.done <- a
 }
 
-// commit ships a write to the replicas. The lock is held.
-func (g *group) commit(at int64) {
+// replicate ships a commit to the replicas. The caller holds the lock.
+func (g *group) replicate(position int64) {
 	for _, s := range g.members {
-		if s == g.primary || s.l == nil {
+		if s == g.primary || s.listener == nil {
 			continue
 		}
-		life := s.life
-		time.AfterFunc(g.f.w.Log.Ship, func() {
-			g.f.mu.Lock()
-			defer g.f.mu.Unlock()
-			if s.life == life && s.group.primary != s {
-				s.backlog = append(s.backlog, at)
-				s.applies()
+		generation := s.generation
+		time.AfterFunc(g.fleet.world.Log.Ship, func() {
+			g.fleet.mu.Lock()
+			defer g.fleet.mu.Unlock()
+			if s.generation == generation && s.group.primary != s {
+				s.backlog = append(s.backlog, position)
+				s.applyNext()
 			}
 		})
 	}
 }
 
-// applies works on the next commit. The lock is held.
-func (s *server) applies() {
-	if s.apply || len(s.backlog) == 0 || s.hung || s.l == nil || s.group.primary == s {
+// applyNext starts to apply the first commit of the backlog, if the server can. The caller holds the lock.
+func (s *server) applyNext() {
+	if s.applying || len(s.backlog) == 0 || s.hung || s.listener == nil || s.group.primary == s {
 		return
 	}
-	s.apply = true
-	life, commit := s.life, s.backlog[0]
-	u := emulator.Chance(s.f.seed, 0x10f, uint64(s.num), uint64(commit))
-	work := time.Duration(float64(s.f.w.Log.Apply) * emulator.Exponential(u) * s.slowLog / s.pace())
+	s.applying = true
+	generation, position := s.generation, s.backlog[0]
+	uniform := emulator.Chance(s.fleet.seed, 0x10f, uint64(s.num), uint64(position))
+	work := time.Duration(float64(s.fleet.world.Log.Apply) * emulator.Exponential(uniform) * s.applySlowdown / s.currentSpeed())
 	time.AfterFunc(work, func() {
-		s.f.mu.Lock()
-		defer s.f.mu.Unlock()
-		if s.life != life || !s.apply {
+		s.fleet.mu.Lock()
+		defer s.fleet.mu.Unlock()
+		if s.generation != generation || !s.applying {
 			return
 		}
-		s.apply = false
+		s.applying = false
 		s.backlog = s.backlog[1:]
-		s.applied = max(s.applied, commit)
-		s.applies()
+		s.applied = max(s.applied, position)
+		s.applyNext()
 	})
 }
 
-// lost is called when a member is dead or hung. The lock is held.
-func (g *group) lost(s *server) {
+// memberLost starts a failover if a member that is dead or hung is the primary. The caller holds the lock.
+func (g *group) memberLost(s *server) {
 	if g.primary != s {
 		return
 	}
-	g.lostAt = time.Now().UnixMilli()
+	g.primaryLostAt = time.Now().UnixMilli()
 	term := g.term
-	time.AfterFunc(g.f.w.Failover.Detect, func() {
-		g.f.mu.Lock()
-		defer g.f.mu.Unlock()
-		if g.term != term || s.l != nil && !s.hung && g.primary == s {
+	time.AfterFunc(g.fleet.world.Failover.Detect, func() {
+		g.fleet.mu.Lock()
+		defer g.fleet.mu.Unlock()
+		if g.term != term || s.listener != nil && !s.hung && g.primary == s {
 			return
 		}
-		s.applied = max(s.applied, g.lostAt)
+		s.applied = max(s.applied, g.primaryLostAt)
 		g.primary = nil
-		g.elect(g.f.w.Failover.Elect)
+		g.elect(g.fleet.world.Failover.Elect)
 	})
 }
 
-// elect makes the member that is furthest a primary, after a time. The lock is held.
+// elect makes the most advanced member the primary after a delay. If no member is eligible, it tries again. The caller
+// holds the lock.
 func (g *group) elect(after time.Duration) {
 	time.AfterFunc(after, func() {
-		g.f.mu.Lock()
-		defer g.f.mu.Unlock()
-		if g.primary != nil || g.f.closed {
+		g.fleet.mu.Lock()
+		defer g.fleet.mu.Unlock()
+		if g.primary != nil || g.fleet.closed {
 			return
 		}
 		var best *server
 		for _, s := range g.members {
-			if s.l != nil && !s.hung && !s.draining && (best == nil || s.position() > best.position()) {
+			if s.listener != nil && !s.hung && !s.draining && (best == nil || s.position() > best.position()) {
 				best = s
 			}
 		}
 		if best == nil {
-			g.elect(g.f.w.Failover.Elect)
+			g.elect(g.fleet.world.Failover.Elect)
 			return
 		}
 		g.term++
-		best.backlog, best.apply, best.applied = nil, false, time.Now().UnixMilli()
+		best.backlog, best.applying, best.applied = nil, false, time.Now().UnixMilli()
 		g.primary = best
-		g.f.check.event("server %d is primary", best.num)
+		g.fleet.checker.event("server %d is primary", best.num)
 	})
 }
 
-// crash ends a server's process.
+// crash ends the server's process.
 func (s *server) crash() {
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	s.down()
-	s.group.lost(s)
-	s.f.lists.changed(s, s.f.w.List.Down)
+	s.fleet.mu.Lock()
+	defer s.fleet.mu.Unlock()
+	s.shutDown()
+	s.group.memberLost(s)
+	s.fleet.discovery.publishAfter(s, s.fleet.world.List.Down)
 }
 
-// start brings it back, cold.
+// start starts the server's process again; the server is cold.
 func (s *server) start() error {
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
-	if s.l != nil || s.f.closed {
+	s.fleet.mu.Lock()
+	defer s.fleet.mu.Unlock()
+	if s.listener != nil || s.fleet.closed {
 		return nil
 	}
 	s.started = time.Now()
 	if s.group.primary == s {
 		s.group.term++
 		s.group.primary = nil
-		s.group.elect(s.f.w.Failover.Elect)
+		s.group.elect(s.fleet.world.Failover.Elect)
 	}
-	s.applied = max(s.applied, time.Now().Add(-2*time.Second).UnixMilli()) // it catches up from what the others kept
+	s.applied = max(s.applied, time.Now().Add(-2*time.Second).UnixMilli()) // it catches up from other members
 	if err := s.listen(); err != nil {
 		return err
 	}
-	s.f.lists.changed(s, s.f.w.List.Added)
+	s.fleet.discovery.publishAfter(s, s.fleet.world.List.Added)
 	return nil
 }
 
-// set changes what ails a server.
-func (s *server) set(change func(s *server)) {
-	s.f.mu.Lock()
-	defer s.f.mu.Unlock()
+// update changes the faults of the server, and acts on the start and the end of a hang.
+func (s *server) update(change func(s *server)) {
+	s.fleet.mu.Lock()
+	defer s.fleet.mu.Unlock()
 	wasHung := s.hung
 	change(s)
 	switch {
 	case s.hung && !wasHung:
-		s.group.lost(s)
+		s.group.memberLost(s)
 	case wasHung && !s.hung:
-		stuck := s.stuck
-		s.stuck = nil
-		for _, do := range stuck {
-			do()
+		suspended := s.suspended
+		s.suspended = nil
+		for _, resume := range suspended {
+			resume()
 		}
-		s.applies()
+		s.applyNext()
 	}
 }
