--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -26,32 +26,32 @@
 
 	order int
 	rng   *rand.Rand
-	kind  *kind
+	kind  *faultKind
 }
 
 // kind is what a fault does.
-type kind struct {
-	doc     string
-	size    float64 // where the file says nothing
-	strikes strikes
-	begin   func(f *Fault, r *run, servers []*server, gateways []*gateway) (end func())
+type faultKind struct {
+	doc         string
+	defaultSize float64 // where the file says nothing
+	target      targetKind
+	begin       func(f *Fault, r *simulation, servers []*server, gateways []*gateway) (end func())
 }
 
 // strikes is what a fault is aimed at.
-type strikes uint8
+type targetKind uint8
 
 const (
-	nothing strikes = iota
-	someServers
-	someGateways
-	both
+	targetNone targetKind = iota
+	targetServers
+	targetGateways
+	targetBoth
 )
 
-var kinds = map[string]*kind{}
+var faultKinds = map[string]*faultKind{}
 
 func init() {
-	each := func(do func(f *Fault, s *server) func()) func(*Fault, *run, []*server, []*gateway) func() {
-		return func(f *Fault, _ *run, servers []*server, _ []*gateway) func() {
+	each := func(do func(f *Fault, s *server) func()) func(*Fault, *simulation, []*server, []*gateway) func() {
+		return func(f *Fault, _ *simulation, servers []*server, _ []*gateway) func() {
 			var ends []func()
 			for _, s := range servers {
 				ends = append(ends, do(f, s))
@@ -63,98 +63,101 @@
 			}
 		}
 	}
-	kinds["crash"] = &kind{doc: "processes end; they start again, cold, at the fault's end", strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.crash(crashed); return s.start })}
-	kinds["vanish"] = &kind{doc: "machines fall silent; they are back, cold, at the fault's end", strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.crash(vanished); return s.start })}
-	kinds["hang"] = &kind{doc: "servers take ops and answer none until the fault's end", strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.freezes(true); return func() { s.freezes(false) } })}
-	kinds["slow"] = &kind{doc: "all work takes size times as long", size: 5, strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.slow *= f.Size; return func() { s.slow /= f.Size } })}
-	kinds["error"] = &kind{doc: "a share of ops, size, ends with an error", size: 0.6, strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.fails = f.Size; return func() { s.fails = 0 } })}
-	kinds["refuse"] = &kind{doc: "servers turn all ops away as if they were full", strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.refuses = true; return func() { s.refuses = false } })}
-	kinds["slow_apply"] = &kind{doc: "replicas apply the log size times as slowly", size: 8, strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.slowLog *= f.Size; return func() { s.slowLog /= f.Size } })}
-	kinds["lying_position"] = &kind{doc: "servers tell a position that is size seconds too far ahead; reads from them may be stale", size: 1,
-		strikes: someServers, begin: each(func(f *Fault, s *server) func() {
-			s.lies = time.Duration(f.Size * float64(time.Second))
-			return func() { s.lies = 0 }
+	faultKinds["crash"] = &faultKind{doc: "processes end; they start again, cold, at the fault's end", target: targetServers,
+		begin: each(func(f *Fault, s *server) func() { s.crash(serverCrashed); return s.start })}
+	faultKinds["vanish"] = &faultKind{doc: "machines fall silent; they are back, cold, at the fault's end", target: targetServers,
+		begin: each(func(f *Fault, s *server) func() { s.crash(serverVanished); return s.start })}
+	faultKinds["hang"] = &faultKind{doc: "servers take ops and answer none until the fault's end", target: targetServers,
+		begin: each(func(f *Fault, s *server) func() { s.setHung(true); return func() { s.setHung(false) } })}
+	faultKinds["slow"] = &faultKind{doc: "all work takes size times as long", defaultSize: 5, target: targetServers,
+		begin: each(func(f *Fault, s *server) func() { s.slowdown *= f.Size; return func() { s.slowdown /= f.Size } })}
+	faultKinds["error"] = &faultKind{doc: "a share of ops, size, ends with an error", defaultSize: 0.6, target: targetServers,
+		begin: each(func(f *Fault, s *server) func() { s.errorShare = f.Size; return func() { s.errorShare = 0 } })}
+	faultKinds["refuse"] = &faultKind{doc: "servers turn all ops away as if they were full", target: targetServers,
+		begin: each(func(f *Fault, s *server) func() { s.refusing = true; return func() { s.refusing = false } })}
+	faultKinds["slow_apply"] = &faultKind{doc: "replicas apply the log size times as slowly", defaultSize: 8, target: targetServers,
+		begin: each(func(f *Fault, s *server) func() {
+			s.applySlowdown *= f.Size
+			return func() { s.applySlowdown /= f.Size }
 		})}
-	kinds["probe_fail"] = &kind{doc: "a share of probes, size, fails while ops are served", size: 1, strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.badProbe = f.Size; return func() { s.badProbe = 0 } })}
-	kinds["squeeze"] = &kind{doc: "servers take size connections for each gateway over all servers, and close idle ones", size: 3, strikes: someServers,
-		begin: func(f *Fault, r *run, servers []*server, _ []*gateway) func() {
+	faultKinds["lying_position"] = &faultKind{doc: "servers tell a position that is size seconds too far ahead; reads from them may be stale", defaultSize: 1,
+		target: targetServers, begin: each(func(f *Fault, s *server) func() {
+			s.positionLead = time.Duration(f.Size * float64(time.Second))
+			return func() { s.positionLead = 0 }
+		})}
+	faultKinds["probe_fail"] = &faultKind{doc: "a share of probes, size, fails while ops are served", defaultSize: 1, target: targetServers,
+		begin: each(func(f *Fault, s *server) func() { s.probeErrorShare = f.Size; return func() { s.probeErrorShare = 0 } })}
+	faultKinds["squeeze"] = &faultKind{doc: "servers take size connections for each gateway over all servers, and close idle ones", defaultSize: 3, target: targetServers,
+		begin: func(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
-				s.squeezed = max(1, int(f.Size*float64(len(r.gateways))/float64(len(r.servers)))) + s.cores
-				r.closeIdle(s)
+				s.connectionLimit = max(1, int(f.Size*float64(len(r.gateways))/float64(len(r.servers)))) + s.cores
+				r.closeIdleConnections(s)
 			}
 			return func() {
 				for _, s := range servers {
-					s.squeezed = 0
+					s.connectionLimit = 0
 				}
 			}
 		}}
-	kinds["neighbour"] = &kind{doc: "another program takes a share of the machine, size, on and off", size: 0.5, strikes: someServers, begin: neighbour}
-	kinds["drain"] = &kind{doc: "servers drain and end; successors under new ids start cold after back", strikes: someServers, begin: roll}
-	kinds["deploy"] = &kind{doc: "a rolling deploy over the fault's time: servers drain one after another, a share of size at a time", size: 0.1,
-		strikes: someServers, begin: roll}
-	kinds["mass_restart"] = &kind{doc: "servers end at once and are back, cold, after back", strikes: someServers,
-		begin: func(f *Fault, r *run, servers []*server, _ []*gateway) func() {
+	faultKinds["neighbour"] = &faultKind{doc: "another program takes a share of the machine, size, on and off", defaultSize: 0.5, target: targetServers, begin: slowByNeighbour}
+	faultKinds["drain"] = &faultKind{doc: "servers drain and end; successors under new ids start cold after back", target: targetServers, begin: replaceServers}
+	faultKinds["deploy"] = &faultKind{doc: "a rolling deploy over the fault's time: servers drain one after another, a share of size at a time", defaultSize: 0.1,
+		target: targetServers, begin: replaceServers}
+	faultKinds["mass_restart"] = &faultKind{doc: "servers end at once and are back, cold, after back", target: targetServers,
+		begin: func(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
-				s.crash(crashed)
+				s.crash(serverCrashed)
 				r.after(max(f.Back, time.Second)+time.Duration(f.rng.Int64N(int64(500*time.Millisecond))), s.start)
 			}
 			return func() {}
 		}}
-	kinds["burst"] = &kind{doc: "ops come in at size times the rate", size: 1.8, strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
+	faultKinds["burst"] = &faultKind{doc: "ops come in at size times the rate", defaultSize: 1.8, target: targetNone,
+		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
 			r.clients.bursts = append(r.clients.bursts, f)
 			return func() { r.clients.bursts = slices.DeleteFunc(r.clients.bursts, func(b *Fault) bool { return b == f }) }
 		}}
-	kinds["list_down"] = &kind{doc: "the list answers nobody and ends all watches", strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
-			r.lists.breaks(true)
-			return func() { r.lists.breaks(false) }
+	faultKinds["list_down"] = &faultKind{doc: "the list answers nobody and ends all watches", target: targetNone,
+		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
+			r.discovery.setDown(true)
+			return func() { r.discovery.setDown(false) }
 		}}
-	kinds["list_silent"] = &kind{doc: "watches that are open hear nothing more; each instance gives its own up after a while", strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
-			r.lists.silence()
+	faultKinds["list_silent"] = &faultKind{doc: "watches that are open hear nothing more; each instance gives its own up after a while", target: targetNone,
+		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
+			r.discovery.silenceWatches()
 			return func() {}
 		}}
-	kinds["list_frozen"] = &kind{doc: "the list goes on telling what it knew", strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
-			r.lists.frozen = true
+	faultKinds["list_frozen"] = &faultKind{doc: "the list goes on telling what it knew", target: targetNone,
+		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
+			r.discovery.frozen = true
 			return func() {
-				r.lists.frozen = false
+				r.discovery.frozen = false
 				for _, s := range r.servers {
-					r.lists.note(s)
+					r.discovery.update(s)
 				}
 			}
 		}}
-	kinds["list_wrong"] = &kind{doc: "the list calls servers gone that run", strikes: someServers,
-		begin: func(f *Fault, r *run, servers []*server, _ []*gateway) func() {
+	faultKinds["list_wrong"] = &faultKind{doc: "the list calls servers gone that run", target: targetServers,
+		begin: func(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
 			tell := func() {
 				for _, s := range servers {
-					if e := r.lists.lines[s]; e != nil {
-						r.lists.tell([]*line{e})
+					if e := r.discovery.entries[s]; e != nil {
+						r.discovery.push([]*listEntry{e})
 					}
 				}
 			}
 			for _, s := range servers {
-				r.lists.wrong[s] = choice.Gone
+				r.discovery.falseStates[s] = choice.Gone
 			}
 			tell()
 			return func() {
 				for _, s := range servers {
-					delete(r.lists.wrong, s)
+					delete(r.discovery.falseStates, s)
 				}
 				tell()
 			}
 		}}
-	kinds["gateway_crash"] = &kind{doc: "instances end at once and are back after back, with nothing but their list", strikes: someGateways,
-		begin: func(f *Fault, r *run, _ []*server, gateways []*gateway) func() {
+	faultKinds["gateway_crash"] = &faultKind{doc: "instances end at once and are back after back, with nothing but their list", target: targetGateways,
+		begin: func(f *Fault, r *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
 				g.crash()
 				r.after(max(f.Back, 100*time.Millisecond), func() {
@@ -165,8 +168,8 @@
 			}
 			return func() {}
 		}}
-	kinds["gateway_pause"] = &kind{doc: "instances stand still for back", strikes: someGateways,
-		begin: func(f *Fault, r *run, _ []*server, gateways []*gateway) func() {
+	faultKinds["gateway_pause"] = &faultKind{doc: "instances stand still for back", target: targetGateways,
+		begin: func(f *Fault, r *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
 				if !g.down {
 					g.pause(max(f.Back, 100*time.Millisecond))
@@ -174,8 +177,8 @@
 			}
 			return func() {}
 		}}
-	kinds["gateway_roll"] = &kind{doc: "instances end one after another over the fault's time and are back after back", strikes: someGateways,
-		begin: func(f *Fault, r *run, _ []*server, gateways []*gateway) func() {
+	faultKinds["gateway_roll"] = &faultKind{doc: "instances end one after another over the fault's time and are back after back", target: targetGateways,
+		begin: func(f *Fault, r *simulation, _ []*server, gateways []*gateway) func() {
 			for i, g := range gateways {
 				r.after(time.Duration(int64(f.For)*int64(i)/int64(len(gateways))), func() {
 					g.crash()
@@ -188,19 +191,19 @@
 			}
 			return func() {}
 		}}
-	kinds["one_sided"] = &kind{doc: "a share of the instances, size, cannot reach the servers struck", size: 0.5, strikes: someServers,
-		begin: func(f *Fault, r *run, servers []*server, _ []*gateway) func() {
-			c := &cut{gateways: map[int]bool{}, servers: map[int]bool{}, toServer: f.How != "answers", toInstance: f.How != "sends"}
+	faultKinds["one_sided"] = &faultKind{doc: "a share of the instances, size, cannot reach the servers struck", defaultSize: 0.5, target: targetServers,
+		begin: func(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
+			c := &networkCut{gateways: map[int]bool{}, servers: map[int]bool{}, toServer: f.How != "answers", toInstance: f.How != "sends"}
 			for _, i := range f.rng.Perm(len(r.gateways))[:max(1, int(f.Size*float64(len(r.gateways))))] {
 				c.gateways[i] = true
 			}
 			for _, s := range servers {
 				c.servers[int(s.id)] = true
 			}
-			return r.cut(c)
+			return r.addCut(c)
 		}}
-	kinds["partition"] = &kind{doc: "a share of the instances, size, and the others do not hear each other; how: one_way, then only the others do not hear it",
-		size: 0.5, strikes: nothing, begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
+	faultKinds["partition"] = &faultKind{doc: "a share of the instances, size, and the others do not hear each other; how: one_way, then only the others do not hear it",
+		defaultSize: 0.5, target: targetNone, begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
 			in, out := map[int]bool{}, map[int]bool{}
 			for i, g := range f.rng.Perm(len(r.gateways)) {
 				if i < int(f.Size*float64(len(r.gateways))) {
@@ -209,33 +212,33 @@
 					out[g] = true
 				}
 			}
-			end := r.cut(&cut{among: true, fromGateway: in, toGateway: out})
+			end := r.addCut(&networkCut{betweenGateways: true, fromGateways: in, toGateways: out})
 			back := func() {}
 			if f.How != "one_way" {
-				back = r.cut(&cut{among: true, fromGateway: out, toGateway: in})
+				back = r.addCut(&networkCut{betweenGateways: true, fromGateways: out, toGateways: in})
 			}
 			return func() { end(); back() }
 		}}
-	kinds["network"] = &kind{doc: "a share of datagrams, size, is lost; as many come twice and as many late", size: 0.1, strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
+	faultKinds["network"] = &faultKind{doc: "a share of datagrams, size, is lost; as many come twice and as many late", defaultSize: 0.1, target: targetNone,
+		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
 			n := &r.world.Network
 			old := *n
 			n.Loss, n.Twice, n.Reorder = f.Size, f.Size, f.Size
 			return func() { n.Loss, n.Twice, n.Reorder = old.Loss, old.Twice, old.Reorder }
 		}}
-	kinds["liar"] = &kind{doc: "instances lie in the gossip; how: primaries, all, accuse, replay, future, contradict, praise or mixed", strikes: someGateways,
-		begin: func(f *Fault, r *run, _ []*server, gateways []*gateway) func() {
-			if r.gossips == nil {
+	faultKinds["liar"] = &faultKind{doc: "instances lie in the gossip; how: primaries, all, accuse, replay, future, contradict, praise or mixed", target: targetGateways,
+		begin: func(f *Fault, r *simulation, _ []*server, gateways []*gateway) func() {
+			if r.gossipNet == nil {
 				return func() {}
 			}
-			return r.gossips.lie(f, gateways)
+			return r.gossipNet.startLiars(f, gateways)
 		}}
 }
 
 // FaultKinds lists the kinds by name, with what each does.
 func FaultKinds() (names []string, docs map[string]string) {
 	docs = map[string]string{}
-	for name, k := range kinds {
+	for name, k := range faultKinds {
 		names = append(names, name)
 		docs[name] = k.doc
 	}
@@ -244,26 +247,26 @@
 }
 
 // cut cuts a way until the returned function is called.
-func (r *run) cut(c *cut) func() {
+func (r *simulation) addCut(c *networkCut) func() {
 	r.cuts = append(r.cuts, c)
 	return func() {
-		r.cuts = slices.DeleteFunc(r.cuts, func(x *cut) bool { return x == c })
+		r.cuts = slices.DeleteFunc(r.cuts, func(x *networkCut) bool { return x == c })
 	}
 }
 
 // closeIdle closes all connections to a server that are not in use.
-func (r *run) closeIdle(s *server) {
+func (r *simulation) closeIdleConnections(s *server) {
 	for _, g := range r.gateways {
-		if int(s.id) <= len(g.links) && g.links[s.id-1] != nil && g.links[s.id-1].life == s.life {
-			l := g.links[s.id-1]
-			s.open -= len(l.idle)
-			l.idle = nil
+		if int(s.id) <= len(g.pools) && g.pools[s.id-1] != nil && g.pools[s.id-1].generation == s.generation {
+			l := g.pools[s.id-1]
+			s.openConnections -= len(l.idleSince)
+			l.idleSince = nil
 		}
 	}
 }
 
 // neighbour slows machines down, on and off.
-func neighbour(f *Fault, r *run, servers []*server, _ []*gateway) func() {
+func slowByNeighbour(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
 	over := false
 	factor := 1 / (1 - min(0.95, f.Size))
 	for _, s := range servers {
@@ -271,10 +274,10 @@
 		var turn func()
 		turn = func() {
 			if on {
-				s.slow /= factor
+				s.slowdown /= factor
 			}
 			if on = !on && !over; on {
-				s.slow *= factor
+				s.slowdown *= factor
 			}
 			if !over {
 				r.after(time.Duration((0.5+f.rng.Float64())*float64(2*time.Second)), turn)
@@ -286,7 +289,7 @@
 }
 
 // roll replaces servers, so many at a time, over the fault's time.
-func roll(f *Fault, r *run, servers []*server, _ []*gateway) func() {
+func replaceServers(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
 	atOnce := len(servers)
 	if f.Kind == "deploy" {
 		atOnce = max(1, int(f.Size*float64(len(servers))))
@@ -298,10 +301,10 @@
 			after = f.For / time.Duration(steps) * time.Duration(i/atOnce)
 		}
 		r.after(after, func() {
-			if !s.runs() || s.draining {
+			if !s.isUp() || s.draining {
 				return
 			}
-			s.drains()
+			s.drain()
 			r.after(max(f.Back, 500*time.Millisecond), func() { s.group.replace(s) })
 		})
 	}
@@ -309,13 +312,13 @@
 }
 
 // ready checks a fault and gives it its own chance.
-func (f *Fault) ready(r *run, order int) error {
-	f.kind = kinds[f.Kind]
+func (f *Fault) prepare(r *simulation, order int) error {
+	f.kind = faultKinds[f.Kind]
 	if f.kind == nil {
 		return fmt.Errorf("faults[%d].kind: %q is no fault", order, f.Kind)
 	}
 	if f.Size == 0 {
-		f.Size = f.kind.size
+		f.Size = f.kind.defaultSize
 	}
 	f.order = order
 	f.rng = rand.New(rand.NewPCG(r.seed, 0xfa01+uint64(order)))
@@ -323,16 +326,16 @@
 }
 
 // plan lets the fault strike at its time, counted from the first op.
-func (f *Fault) plan(r *run, start time.Duration) {
+func (f *Fault) schedule(r *simulation, start time.Duration) {
 	var strike func()
 	strike = func() {
-		servers, gateways := f.targets(r)
-		r.event("%s begins%s", f.Kind, names(servers, gateways))
+		servers, gateways := f.pickTargets(r)
+		r.recordEvent("%s begins%s", f.Kind, targetNames(servers, gateways))
 		end := f.kind.begin(f, r, servers, gateways)
 		if f.For > 0 {
 			r.after(f.For, func() {
 				end()
-				r.event("%s ends", f.Kind)
+				r.recordEvent("%s ends", f.Kind)
 			})
 		}
 		if f.Every > 0 {
@@ -346,7 +349,7 @@
 	r.at(start+f.At, strike)
 }
 
-func names(servers []*server, gateways []*gateway) (s string) {
+func targetNames(servers []*server, gateways []*gateway) (s string) {
 	const most = 8
 	for i, x := range servers {
 		if i == most {
@@ -364,7 +367,7 @@
 }
 
 // targets draws what is struck.
-func (f *Fault) targets(r *run) (servers []*server, gateways []*gateway) {
+func (f *Fault) pickTargets(r *simulation) (servers []*server, gateways []*gateway) {
 	amount := func(of int) int {
 		n := f.Count
 		if f.Share > 0 {
@@ -372,11 +375,11 @@
 		}
 		return min(of, max(1, n))
 	}
-	if f.kind.strikes == someServers || f.kind.strikes == both {
+	if f.kind.target == targetServers || f.kind.target == targetBoth {
 		var fit []*server
 		for _, s := range r.servers {
-			if !s.runs() || s.draining || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.group.index != f.Group-1 ||
-				f.Of == "primaries" && !s.primary() || f.Of == "replicas" && s.primary() {
+			if !s.isUp() || s.draining || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.group.index != f.Group-1 ||
+				f.Of == "primaries" && !s.isPrimary() || f.Of == "replicas" && s.isPrimary() {
 				continue
 			}
 			fit = append(fit, s)
@@ -387,7 +390,7 @@
 			}
 		}
 	}
-	if f.kind.strikes == someGateways || f.kind.strikes == both {
+	if f.kind.target == targetGateways || f.kind.target == targetBoth {
 		for _, i := range f.rng.Perm(len(r.gateways))[:amount(len(r.gateways))] {
 			gateways = append(gateways, r.gateways[i])
 		}
--- a/internal/emulator/gossips.go
+++ b/internal/emulator/gossips.go
@@ -11,167 +11,167 @@
 )
 
 // gossips is the network on which instances gossip, and what it costs.
-type gossips struct {
-	r     *run
-	rng   *rand.Rand
-	nodes []*instance // by gateway: the present run
-	sent  int64       // bytes
-	worst int64       // bytes in the worst second of any instance
-	false int64
-	past  gossip.Counts // of runs that have ended
-	from  time.Duration // bytes count from here
+type gossipNetwork struct {
+	sim              *simulation
+	rng              *rand.Rand
+	instances        []*instance // by gateway: the present run
+	sentBytes        int64       // bytes
+	worstSecondBytes int64       // bytes in the worst second of any instance
+	falselyDead      int64
+	endedCounts      gossip.Counts // of runs that have ended
+	countFrom        time.Duration // bytes count from here
 }
 
 // instance is a gateway's part in the gossip; it is its node's Host.
 type instance struct {
 	*gossip.Node
-	gs      *gossips
-	g       *gateway
-	life    int // of the gateway
-	base    time.Duration
-	name    string
-	key     gossip.KeyID
-	run     uint64
-	counter uint64
-	wake    int
-	second  int64 // for the bytes of the present one
-	inIt    int64
-	liar    *liar
+	network            *gossipNetwork
+	gateway            *gateway
+	generation         int // of the gateway
+	clockBase          time.Duration
+	name               string
+	key                gossip.KeyID
+	runID              uint64
+	lastCounter        uint64
+	wakeCount          int
+	currentSecond      int64 // for the bytes of the present one
+	currentSecondBytes int64
+	liar               *liar
 }
 
-func newGossips(r *run) *gossips {
-	return &gossips{r: r, rng: rand.New(rand.NewPCG(r.seed, 4)), nodes: make([]*instance, r.world.Gateways.Count)}
+func newGossipNetwork(r *simulation) *gossipNetwork {
+	return &gossipNetwork{sim: r, rng: rand.New(rand.NewPCG(r.seed, 4)), instances: make([]*instance, r.world.Gateways.Count)}
 }
 
 func address(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946)
 }
 
-func indexOf(a netip.AddrPort) int {
+func gatewayIndex(a netip.AddrPort) int {
 	b := a.Addr().As4()
 	return int(b[1])<<16 | int(b[2])<<8 | int(b[3])
 }
 
 // setup is what an instance's node is told.
-func (gs *gossips) setup(i int, life int) gossip.Config {
-	w := &gs.r.world.Gossip
-	return gossip.Config{Name: fmt.Sprintf("g%04d", i), Key: gossip.KeyID{byte(i >> 8), byte(i), 1}, Run: mix(gs.r.seed ^ uint64(i)<<16 ^ uint64(life)),
-		Seed: mix(gs.r.seed + uint64(i)), Addr: address(i), Seeds: []netip.AddrPort{address(0), address(min(1, gs.r.world.Gateways.Count-1))},
+func (gs *gossipNetwork) config(i int, life int) gossip.Config {
+	w := &gs.sim.world.Gossip
+	return gossip.Config{Name: fmt.Sprintf("g%04d", i), Key: gossip.KeyID{byte(i >> 8), byte(i), 1}, Run: mix(gs.sim.seed ^ uint64(i)<<16 ^ uint64(life)),
+		Seed: mix(gs.sim.seed + uint64(i)), Addr: address(i), Seeds: []netip.AddrPort{address(0), address(min(1, gs.sim.world.Gateways.Count-1))},
 		ProbeEvery: w.ProbeEvery, ProbeTimeout: w.ProbeTimeout, SuspectFor: w.SuspectFor, TellEvery: w.TellEvery, SyncEvery: w.SyncEvery,
 		RumourLife: w.RumourLife, Members: w.Members, Rumours: w.Rumours, RumoursPerObserver: w.RumoursPerObserver,
 		ObserversPerServer: w.ObserversPerServer, Datagram: int(w.Datagram), DatagramsPerTell: w.DatagramsPerTell, BytesPerSecond: int(w.BytesPerSecond)}
 }
 
 // start makes the node of a gateway's run. That of the first run has begun before the day does.
-func (gs *gossips) start(g *gateway) *instance {
+func (gs *gossipNetwork) start(g *gateway) *instance {
 	i := g.index
-	if old := gs.nodes[i]; old != nil {
-		if old.life == g.life {
+	if old := gs.instances[i]; old != nil {
+		if old.generation == g.generation {
 			return old
 		}
-		gs.past = add(gs.past, old.Counts())
+		gs.endedCounts = addCounts(gs.endedCounts, old.Counts())
 	}
-	s := gs.setup(i, g.life)
-	n := &instance{gs: gs, g: g, life: g.life, base: gs.r.now, name: s.Name, key: s.Key, run: s.Run}
+	s := gs.config(i, g.generation)
+	n := &instance{network: gs, gateway: g, generation: g.generation, clockBase: gs.sim.now, name: s.Name, key: s.Key, runID: s.Run}
 	n.Node = gossip.New(n, s)
-	gs.nodes[i] = n
-	gs.r.after(time.Duration(draw(gs.r.seed, 0x90551, uint64(i), uint64(g.life))*float64(time.Second)), func() {
-		g.do(n.life, func() { n.Node.Start(n.here()) })
+	gs.instances[i] = n
+	gs.sim.after(time.Duration(draw(gs.sim.seed, 0x90551, uint64(i), uint64(g.generation))*float64(time.Second)), func() {
+		g.runIfAlive(n.generation, func() { n.Node.Start(n.localTime()) })
 	})
 	return n
 }
 
-func (n *instance) here() time.Duration { return n.gs.r.now - n.base }
+func (n *instance) localTime() time.Duration { return n.network.sim.now - n.clockBase }
 
 // later does something at the instance, if its run goes on until then.
-func (n *instance) later(after time.Duration, f func()) {
-	n.gs.r.after(after, func() { n.g.do(n.life, f) })
+func (n *instance) schedule(after time.Duration, f func()) {
+	n.network.sim.after(after, func() { n.gateway.runIfAlive(n.generation, f) })
 }
 
 // way is drawn apart from the ways of ops, which are to be the same whether instances gossip or not.
-func (n *instance) way(to *instance) time.Duration {
-	net := &n.gs.r.world.Network
+func (n *instance) delay(to *instance) time.Duration {
+	net := &n.network.sim.world.Network
 	d := net.Within
-	if n.g.zone != to.g.zone {
+	if n.gateway.zone != to.gateway.zone {
 		d = net.Between
 	}
-	return d + time.Duration(float64(d)*net.Jitter*n.gs.rng.ExpFloat64())
+	return d + time.Duration(float64(d)*net.Jitter*n.network.rng.ExpFloat64())
 }
 
 // charge counts bytes.
-func (n *instance) charge(bytes int) {
-	if n.gs.r.now < n.gs.from {
+func (n *instance) countBytes(bytes int) {
+	if n.network.sim.now < n.network.countFrom {
 		return
 	}
-	n.gs.sent += int64(bytes)
-	if second := int64(n.gs.r.now / time.Second); second != n.second {
-		n.second, n.inIt = second, 0
+	n.network.sentBytes += int64(bytes)
+	if second := int64(n.network.sim.now / time.Second); second != n.currentSecond {
+		n.currentSecond, n.currentSecondBytes = second, 0
 	}
-	if n.inIt += int64(bytes); n.liar == nil {
-		n.gs.worst = max(n.gs.worst, n.inIt)
+	if n.currentSecondBytes += int64(bytes); n.liar == nil {
+		n.network.worstSecondBytes = max(n.network.worstSecondBytes, n.currentSecondBytes)
 	}
 }
 
 // Datagram implements gossip.Host, as do the methods below.
 func (n *instance) Datagram(to netip.AddrPort, _ gossip.KeyID, m *gossip.Message) {
-	n.charge(m.Bytes())
-	n.carry(to, m)
+	n.countBytes(m.Bytes())
+	n.transmit(to, m)
 }
 
-func (n *instance) carry(to netip.AddrPort, m *gossip.Message) {
-	gs := n.gs
-	n.counter++
-	d := gossip.Datagram{From: n.name, Key: n.key, Run: n.run, Counter: n.counter, Message: m}
-	net := &gs.r.world.Network
-	i := indexOf(to)
-	if i >= len(gs.nodes) || gs.nodes[i] == nil || !gs.r.talks(n.g.index, i) || net.Loss > 0 && gs.rng.Float64() < net.Loss {
+func (n *instance) transmit(to netip.AddrPort, m *gossip.Message) {
+	gs := n.network
+	n.lastCounter++
+	d := gossip.Datagram{From: n.name, Key: n.key, Run: n.runID, Counter: n.lastCounter, Message: m}
+	net := &gs.sim.world.Network
+	i := gatewayIndex(to)
+	if i >= len(gs.instances) || gs.instances[i] == nil || !gs.sim.gossipReaches(n.gateway.index, i) || net.Loss > 0 && gs.rng.Float64() < net.Loss {
 		return
 	}
-	x := gs.nodes[i]
-	way := n.way(x)
+	x := gs.instances[i]
+	way := n.delay(x)
 	if net.Reorder > 0 && gs.rng.Float64() < net.Reorder {
 		way *= 10
 	}
 	take := func() {
 		if x.liar != nil {
-			x.liar.hears(m)
+			x.liar.keepRumours(m)
 		}
-		x.Received(x.here(), d)
+		x.Received(x.localTime(), d)
 	}
-	x.later(way, take)
+	x.schedule(way, take)
 	if net.Twice > 0 && gs.rng.Float64() < net.Twice {
-		x.later(3*way, take)
+		x.schedule(3*way, take)
 	}
 }
 
 func (n *instance) Exchange(with netip.AddrPort, d *gossip.Digest) {
-	gs, i := n.gs, indexOf(with)
-	n.charge(d.Bytes())
-	if i >= len(gs.nodes) || gs.nodes[i] == nil || gs.nodes[i].g.down || !gs.r.talks(n.g.index, i) || !gs.r.talks(i, n.g.index) {
-		n.later(time.Second, func() { n.ExchangeFailed(n.here(), with) })
+	gs, i := n.network, gatewayIndex(with)
+	n.countBytes(d.Bytes())
+	if i >= len(gs.instances) || gs.instances[i] == nil || gs.instances[i].gateway.down || !gs.sim.gossipReaches(n.gateway.index, i) || !gs.sim.gossipReaches(i, n.gateway.index) {
+		n.schedule(time.Second, func() { n.ExchangeFailed(n.localTime(), with) })
 		return
 	}
-	x := gs.nodes[i]
-	x.later(2*n.way(x), func() {
-		items := x.ExchangeRequested(x.here(), d, address(n.g.index).Addr())
-		x.charge(items.Bytes())
-		n.later(n.way(x), func() {
-			if give := n.ExchangeAnswered(n.here(), items); give != nil {
-				n.charge(give.Bytes())
-				x.later(n.way(x), func() { x.ExchangeCompleted(x.here(), give) })
+	x := gs.instances[i]
+	x.schedule(2*n.delay(x), func() {
+		items := x.ExchangeRequested(x.localTime(), d, address(n.gateway.index).Addr())
+		x.countBytes(items.Bytes())
+		n.schedule(n.delay(x), func() {
+			if give := n.ExchangeAnswered(n.localTime(), items); give != nil {
+				n.countBytes(give.Bytes())
+				x.schedule(n.delay(x), func() { x.ExchangeCompleted(x.localTime(), give) })
 			}
 		})
 	})
 }
 
 func (n *instance) Wake(at time.Duration) {
-	n.wake++
-	wake := n.wake
-	n.gs.r.at(at+n.base, func() {
-		if n.wake == wake {
-			n.g.do(n.life, func() {
-				if n.wake == wake {
-					n.Timer(n.here())
+	n.wakeCount++
+	wake := n.wakeCount
+	n.network.sim.at(at+n.clockBase, func() {
+		if n.wakeCount == wake {
+			n.gateway.runIfAlive(n.generation, func() {
+				if n.wakeCount == wake {
+					n.Timer(n.localTime())
 				}
 			})
 		}
@@ -179,47 +179,47 @@
 }
 
 func (n *instance) WeightChanged(server uint64, weight float64) {
-	if server >= 1 && server <= uint64(len(n.gs.r.servers)) && n.g.decider != nil && n.g.node == n {
-		n.g.decider.Rumour(n.g.here(), uint32(server), weight)
+	if server >= 1 && server <= uint64(len(n.network.sim.servers)) && n.gateway.policy != nil && n.gateway.gossipNode == n {
+		n.gateway.policy.Rumour(n.gateway.localTime(), uint32(server), weight)
 	}
 }
 
 func (n *instance) Log(event, name string) {
-	gs := n.gs
+	gs := n.network
 	if event != "member_dead" {
 		return
 	}
 	var i int
-	if _, err := fmt.Sscanf(name, "g%d", &i); err != nil || i >= len(gs.nodes) {
+	if _, err := fmt.Sscanf(name, "g%d", &i); err != nil || i >= len(gs.instances) {
 		return
 	}
-	if !gs.r.gateways[i].down && gs.r.talks(i, n.g.index) && gs.r.talks(n.g.index, i) {
-		gs.false++
+	if !gs.sim.gateways[i].down && gs.sim.gossipReaches(i, n.gateway.index) && gs.sim.gossipReaches(n.gateway.index, i) {
+		gs.falselyDead++
 	}
 }
 
 // trouble takes what the gateway's own module has seen.
-func (n *instance) trouble(server uint32, t choice.Trouble) {
+func (n *instance) reportTrouble(server uint32, t choice.Trouble) {
 	if t == choice.NoTrouble {
-		n.Recovered(n.here(), uint64(server))
+		n.Recovered(n.localTime(), uint64(server))
 		return
 	}
 	s := gossip.Symptom(t)
-	n.ReportSymptom(n.here(), uint64(server), s, s.Strength())
+	n.ReportSymptom(n.localTime(), uint64(server), s, s.Strength())
 }
 
-func (n *instance) acked(s *server, sentAt time.Duration) {
-	n.Acked(n.here(), uint64(s.id), sentAt-n.base)
+func (n *instance) opAcked(s *server, sentAt time.Duration) {
+	n.Acked(n.localTime(), uint64(s.id), sentAt-n.clockBase)
 }
 
-func (gs *gossips) result(start time.Duration) *GossipResult {
-	res := &GossipResult{False: gs.false, Counts: gs.past}
-	for _, n := range gs.nodes {
+func (gs *gossipNetwork) result(start time.Duration) *GossipResult {
+	res := &GossipResult{False: gs.falselyDead, Counts: gs.endedCounts}
+	for _, n := range gs.instances {
 		if n != nil {
-			res.Counts = add(res.Counts, n.Counts())
+			res.Counts = addCounts(res.Counts, n.Counts())
 		}
 	}
-	res.Sent = float64(gs.sent) / (gs.r.now - start).Seconds() / float64(len(gs.nodes))
-	res.WorstSent = float64(gs.worst)
+	res.Sent = float64(gs.sentBytes) / (gs.sim.now - start).Seconds() / float64(len(gs.instances))
+	res.WorstSent = float64(gs.worstSecondBytes)
 	return res
 }
--- a/internal/emulator/loop.go
+++ b/internal/emulator/loop.go
@@ -7,25 +7,27 @@
 
 // loop is the virtual clock: what is due is done in the order of its time, and of two things at one time the one planned
 // first. Nothing else moves time, so a run is the same on any machine.
-type loop struct {
-	now   time.Duration
-	seq   uint64
-	heap  []event // each before its four children
-	steps int64
+type eventLoop struct {
+	now          time.Duration
+	lastSequence uint64
+	heap         []scheduledEvent // each before its four children
+	steps        int64
 }
 
-type event struct {
-	at  time.Duration
-	seq uint64
-	do  func()
+type scheduledEvent struct {
+	at       time.Duration
+	sequence uint64
+	do       func()
 }
 
-func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e *scheduledEvent) before(o *scheduledEvent) bool {
+	return e.at < o.at || e.at == o.at && e.sequence < o.sequence
+}
 
 // at plans something for a time, which is now at the earliest.
-func (l *loop) at(at time.Duration, do func()) {
-	l.seq++
-	e := event{max(at, l.now), l.seq, do}
+func (l *eventLoop) at(at time.Duration, do func()) {
+	l.lastSequence++
+	e := scheduledEvent{max(at, l.now), l.lastSequence, do}
 	i := len(l.heap)
 	l.heap = append(l.heap, e)
 	for i > 0 {
@@ -40,10 +42,10 @@
 }
 
 // after plans something for a span from now.
-func (l *loop) after(span time.Duration, do func()) { l.at(l.now+span, do) }
+func (l *eventLoop) after(span time.Duration, do func()) { l.at(l.now+span, do) }
 
 // run does what is due until a time; false when nothing is left to do.
-func (l *loop) run(until time.Duration) bool {
+func (l *eventLoop) runUntil(until time.Duration) bool {
 	for len(l.heap) > 0 {
 		if l.heap[0].at > until {
 			l.now = until
@@ -58,10 +60,10 @@
 	return false
 }
 
-func (l *loop) pop() {
+func (l *eventLoop) pop() {
 	last := len(l.heap) - 1
 	e := l.heap[last]
-	l.heap[last] = event{}
+	l.heap[last] = scheduledEvent{}
 	l.heap = l.heap[:last]
 	if last == 0 {
 		return
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -41,10 +41,10 @@
 	Steps                int64 // events of the emulator
 	Gossip               *GossipResult
 
-	start  time.Duration
-	w      *run
-	traced uint64
-	Trace  []Event // of the op asked for
+	start    time.Duration
+	sim      *simulation
+	tracedOp uint64
+	Trace    []Event // of the op asked for
 }
 
 // TypeResult is what came of one op type.
@@ -84,9 +84,9 @@
 	False     int64 // members held dead that were there and could be reached
 }
 
-func newResult(r *run) *Result {
-	res := &Result{w: r, Logs: map[string]int64{}}
-	for _, t := range r.types {
+func newResult(r *simulation) *Result {
+	res := &Result{sim: r, Logs: map[string]int64{}}
+	for _, t := range r.opTypes {
 		res.Types = append(res.Types, TypeResult{Name: t.Name, Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)})
 	}
 	return res
@@ -100,37 +100,37 @@
 	return &r.Windows[max(0, i)]
 }
 
-func (r *Result) asked(q *request) {
+func (r *Result) opAsked(q *request) {
 	if r.start == 0 {
-		r.start = r.w.clients.start
+		r.start = r.sim.clients.firstOpAt
 	}
-	t := &r.Types[q.t.index]
+	t := &r.Types[q.opType.index]
 	t.Asked++
-	t.Value += q.t.Value
-	w := r.window(q.at)
+	t.Value += q.opType.Value
+	w := r.window(q.askedAt)
 	w.Asked++
-	w.Value += q.t.Value
+	w.Value += q.opType.Value
 }
 
-func (r *Result) acked(q *request, took time.Duration, tooLate bool) {
-	t := &r.Types[q.t.index]
+func (r *Result) opAcked(q *request, took time.Duration, tooLate bool) {
+	t := &r.Types[q.opType.index]
 	t.Latency.RecordValue(int64(took / time.Microsecond))
 	earned := 0.0
 	switch {
 	case tooLate:
 		t.Failed++
-	case took <= q.t.Target:
+	case took <= q.opType.Target:
 		t.Acked++
-		earned = q.t.Value
+		earned = q.opType.Value
 	default:
 		t.Late++
-		earned = q.t.Value * q.t.LateValue
+		earned = q.opType.Value * q.opType.LateValue
 	}
 	t.Earned += earned
-	r.window(q.at).Earned += earned
+	r.window(q.askedAt).Earned += earned
 }
 
-func (r *Result) failed(q *request) { r.Types[q.t.index].Failed++ }
+func (r *Result) opFailed(q *request) { r.Types[q.opType.index].Failed++ }
 
 func (r *Result) sendEnded(result choice.Result) { r.SendEnds[result]++ }
 
@@ -142,11 +142,11 @@
 		r.Value += t.Value
 		r.Earned += t.Earned
 	}
-	r.Steps = r.w.steps
-	if g := r.w.gossips; g != nil {
+	r.Steps = r.sim.steps
+	if g := r.sim.gossipNet; g != nil {
 		r.Gossip = g.result(start)
 	}
-	r.w = nil
+	r.sim = nil
 }
 
 // Service is the part of the value asked for that was earned.
@@ -181,12 +181,12 @@
 }
 
 // trace keeps the life of the op that was asked for.
-func (r *run) trace(t *trial, format string, args ...any) {
-	if r.result.traced != 0 && t.req.id == r.result.traced {
+func (r *simulation) traceOp(t *gatewayOp, format string, args ...any) {
+	if r.result.tracedOp != 0 && t.request.id == r.result.tracedOp {
 		r.result.Trace = append(r.result.Trace, Event{r.now, fmt.Sprintf(format, args...)})
 	}
 }
 
-func sortTrials(all []*trial) {
-	slices.SortFunc(all, func(a, b *trial) int { return cmp.Compare(a.id, b.id) })
+func sortOpsByID(all []*gatewayOp) {
+	slices.SortFunc(all, func(a, b *gatewayOp) int { return cmp.Compare(a.id, b.id) })
 }
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -21,41 +21,41 @@
 }
 
 // run is one day under way.
-type run struct {
-	loop
-	world  World
-	arm    Arm
-	seed   uint64
-	rng    *rand.Rand // of the world's own making; never drawn from by what differs between arms
-	net    *rand.Rand // of the ways
-	types  []*opType
-	checks choice.Checks
-
-	gateways []*gateway
-	servers  []*server
-	groups   []*group
-	lists    *lists
-	clients  *clients
-	check    *checker
-	cuts     []*cut
-	gossips  *gossips
-	result   *Result
-	meanWork time.Duration
-	faults   []*Fault
-	mutant   func(g *gateway) decider // in tests: decides in the policy's place
+type simulation struct {
+	eventLoop
+	world      World
+	arm        Arm
+	seed       uint64
+	rng        *rand.Rand // of the world's own making; never drawn from by what differs between arms
+	networkRNG *rand.Rand // of the ways
+	opTypes    []*opType
+	checks     choice.Checks
+
+	gateways   []*gateway
+	servers    []*server
+	groups     []*group
+	discovery  *discoveryService
+	clients    *clients
+	checker    *checker
+	cuts       []*networkCut
+	gossipNet  *gossipNetwork
+	result     *Result
+	meanWork   time.Duration
+	faults     []*Fault
+	testPolicy func(g *gateway) policy // in tests: decides in the policy's place
 }
 
 // opType is an op type with what is derived from it.
 type opType struct {
 	OpType
-	index int
-	need  choice.Need
-	told  choice.OpType
+	index  int
+	need   choice.Need
+	config choice.OpType
 }
 
 // Run plays a day. The faults' order does not matter. An error tells what does not make sense.
 func Run(w World, faults []Fault, arm Arm, seed uint64) (*Result, error) {
-	r, err := newRun(w, faults, arm, seed)
+	r, err := newSimulation(w, faults, arm, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -65,60 +65,60 @@
 
 // Trace plays a day as Run does and keeps the life of one op.
 func Trace(w World, faults []Fault, arm Arm, seed, op uint64) (*Result, error) {
-	r, err := newRun(w, faults, arm, seed)
+	r, err := newSimulation(w, faults, arm, seed)
 	if err != nil {
 		return nil, err
 	}
-	r.result.traced = op
+	r.result.tracedOp = op
 	r.play()
 	return r.result, nil
 }
 
-func newRun(w World, faults []Fault, arm Arm, seed uint64) (*run, error) {
-	r := &run{world: w, arm: arm, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), net: rand.New(rand.NewPCG(seed, 2))}
+func newSimulation(w World, faults []Fault, arm Arm, seed uint64) (*simulation, error) {
+	r := &simulation{world: w, arm: arm, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), networkRNG: rand.New(rand.NewPCG(seed, 2))}
 	if err := w.check(); err != nil {
 		return nil, err
 	}
 	var shares, work float64
 	for i, t := range w.OpTypes {
 		o := &opType{OpType: t, index: i, need: needs[t.Need]}
-		o.told = choice.OpType{Effect: effects[t.Effect], Scope: scopes[t.Scope], Window: t.Window, Need: o.need, Target: t.Target,
+		o.config = choice.OpType{Effect: effects[t.Effect], Scope: scopes[t.Scope], Window: t.Window, Need: o.need, Target: t.Target,
 			Timeout: t.Timeout, Value: t.Value, LateValue: t.LateValue}
 		if o.need == choice.Bounded {
-			o.told.Bound = t.Bound
+			o.config.Bound = t.Bound
 		}
-		r.types = append(r.types, o)
+		r.opTypes = append(r.opTypes, o)
 		shares += t.Share
 		work += t.Share * float64(t.Work)
 	}
 	r.meanWork = time.Duration(work / shares)
 	r.checks = checksOf[w.Reports.Checks]
 	r.result = newResult(r)
-	r.check = newChecker(r)
-	r.lists = &lists{w: r, lines: map[*server]*line{}, wrong: map[*server]choice.State{}}
+	r.checker = newChecker(r)
+	r.discovery = &discoveryService{sim: r, entries: map[*server]*listEntry{}, falseStates: map[*server]choice.State{}}
 	for i := range w.Servers.Groups {
-		g := &group{w: r, index: i, lostAt: longAgo, tokens: map[uint64]*token{}}
+		g := &group{sim: r, index: i, primaryLostAt: longAgo, tokens: map[uint64]*token{}}
 		r.groups = append(r.groups, g)
 		for j := range w.Servers.Members {
 			s := r.addServer(g, (i+j)%w.Zones, uint8(i%len(w.Servers.Kinds)))
-			s.started, s.applied = longAgo, 0
-			e := &line{s: s, state: choice.Ready, primary: j == 0 && w.List.Roles != "none", started: longAgo}
-			r.lists.lines[s] = e
-			r.lists.order = append(r.lists.order, e)
+			s.startedAt, s.appliedTo = longAgo, 0
+			e := &listEntry{server: s, state: choice.Ready, primary: j == 0 && w.List.Roles != "none", startedAt: longAgo}
+			r.discovery.entries[s] = e
+			r.discovery.ordered = append(r.discovery.ordered, e)
 		}
 		g.primary = g.members[0]
 		g.primary.wasPrimary = true
 	}
 	for i := range w.Gateways.Count {
-		r.gateways = append(r.gateways, &gateway{w: r, index: i, zone: i % w.Zones})
+		r.gateways = append(r.gateways, &gateway{sim: r, index: i, zone: i % w.Zones})
 	}
 	r.clients = newClients(r)
 	if arm.Gossip {
-		r.gossips = newGossips(r)
+		r.gossipNet = newGossipNetwork(r)
 	}
 	for i := range faults {
 		f := faults[i]
-		if err := f.ready(r, i); err != nil {
+		if err := f.prepare(r, i); err != nil {
 			return nil, err
 		}
 		r.faults = append(r.faults, &f)
@@ -127,81 +127,81 @@
 }
 
 // play plays the day to its end.
-func (r *run) play() {
+func (r *simulation) play() {
 	// Instances have found one another before the first op. Every arm begins at that time, so that days can be compared.
 	start := r.world.Gossip.Warm
 	for _, g := range r.gateways {
 		g.boot()
-		r.at(start, g.opens)
+		r.at(start, g.startServing)
 	}
-	if r.gossips != nil {
-		r.gossips.from = start
+	if r.gossipNet != nil {
+		r.gossipNet.countFrom = start
 	}
-	r.clients.begin(start)
+	r.clients.startLoad(start)
 	for _, f := range r.faults {
-		f.plan(r, start)
+		f.schedule(r, start)
 	}
 	if late := r.world.List.RolesLate; r.world.List.Roles == "late" && late > 0 {
 		var look func()
 		look = func() {
-			r.lists.roles()
+			r.discovery.updateRoles()
 			r.after(late/2, look)
 		}
 		r.after(late/2, look)
 	}
 	end := start + r.world.Length
-	r.run(end)
-	for i := 0; i < 60 && r.clients.open > 0; i++ { // until all is answered, or can no more be
+	r.runUntil(end)
+	for i := 0; i < 60 && r.clients.openRequests > 0; i++ { // until all is answered, or can no more be
 		end += time.Second
-		r.run(end)
+		r.runUntil(end)
 	}
-	r.check.end()
+	r.checker.checkUnanswered()
 	r.result.finish(start)
 }
 
 // addServer makes a server that does not run yet under the next id.
-func (r *run) addServer(g *group, zone int, kind uint8) *server {
+func (r *simulation) addServer(g *group, zone int, kind uint8) *server {
 	id := uint32(len(r.servers) + 1)
 	k := r.world.Servers.Kinds[kind]
 	speed := k.Speed * (1 + r.world.Servers.Spread*(2*draw(r.seed, 0x5beed, uint64(id))-1))
-	s := &server{w: r, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed, slow: 1, slowLog: 1, life: 1}
+	s := &server{sim: r, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed, slowdown: 1, applySlowdown: 1, generation: 1}
 	r.servers = append(r.servers, s)
 	g.members = append(g.members, s)
 	return s
 }
 
 // event notes something that a reader of the day wants to see beside the figures.
-func (r *run) event(format string, args ...any) {
+func (r *simulation) recordEvent(format string, args ...any) {
 	if len(r.result.Events) < maxEvents {
 		r.result.Events = append(r.result.Events, Event{r.now, fmt.Sprintf(format, args...)})
 	}
 }
 
 // way is how long something takes between two zones.
-func (r *run) way(a, b int) time.Duration {
+func (r *simulation) delay(a, b int) time.Duration {
 	d := r.world.Network.Within
 	if a != b {
 		d = r.world.Network.Between
 	}
-	return r.jittered(d)
+	return r.withJitter(d)
 }
 
-func (r *run) jittered(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*r.world.Network.Jitter*r.net.ExpFloat64())
+func (r *simulation) withJitter(d time.Duration) time.Duration {
+	return d + time.Duration(float64(d)*r.world.Network.Jitter*r.networkRNG.ExpFloat64())
 }
 
 // cut is a way that carries nothing.
-type cut struct {
-	fromGateway, toGateway map[int]bool // cut between these instances and the others
-	gateways, servers      map[int]bool // cut between these instances and these servers
-	toServer, toInstance   bool         // which way
-	among                  bool         // the cut lies between instances
+type networkCut struct {
+	fromGateways, toGateways map[int]bool // cut between these instances and the others
+	gateways, servers        map[int]bool // cut between these instances and these servers
+	toServer, toInstance     bool         // which way
+	betweenGateways          bool         // the cut lies between instances
 }
 
 // passes tells whether what a gateway sends reaches a server, and the other way.
-func (r *run) passes(g *gateway, s *server, there bool) bool {
+func (r *simulation) reaches(g *gateway, s *server, there bool) bool {
 	for _, c := range r.cuts {
-		if !c.among && c.gateways[g.index] && c.servers[int(s.id)] && (there && c.toServer || !there && c.toInstance) {
+		if !c.betweenGateways && c.gateways[g.index] && c.servers[int(s.id)] && (there && c.toServer || !there && c.toInstance) {
 			return false
 		}
 	}
@@ -209,9 +209,9 @@
 }
 
 // talks tells whether what one instance sends reaches another.
-func (r *run) talks(from, to int) bool {
+func (r *simulation) gossipReaches(from, to int) bool {
 	for _, c := range r.cuts {
-		if c.among && (c.fromGateway[from] && c.toGateway[to]) {
+		if c.betweenGateways && (c.fromGateways[from] && c.toGateways[to]) {
 			return false
 		}
 	}
@@ -227,15 +227,15 @@
 )
 
 // deployment is what a gateway is told at its start.
-func (r *run) deployment(g *gateway) *choice.Deployment {
+func (r *simulation) deployment(g *gateway) *choice.Deployment {
 	w := &r.world
-	d := &choice.Deployment{Gateways: w.Gateways.Count, Seed: mix(r.seed ^ uint64(g.index)<<20 ^ uint64(g.life)), EventInterval: w.Gateways.Round,
+	d := &choice.Deployment{Gateways: w.Gateways.Count, Seed: mix(r.seed ^ uint64(g.index)<<20 ^ uint64(g.generation)), EventInterval: w.Gateways.Round,
 		ListOnRequest: w.List.Asked, AskWithin: w.List.Within, Checks: r.checks, AnswersCarryPosition: w.Reports.Answers, WriteAgeCarried: w.Reports.Carried,
 		MayProbe: w.Gateways.Probes, MayCancel: w.Gateways.Cancels, MaxRetryAfter: w.Gateways.ComeBack, MaxSends: w.Gateways.MaxSends,
 		ColdFrom: w.Servers.ColdFrom, ColdTime: w.Servers.ColdTime, OverloadFactor: w.Rules.Overload,
 		OverloadTime: w.Rules.FallTime, ReportsPosition: w.Reports.Probes, ReportsRole: w.Reports.Probes}
-	for _, t := range r.types {
-		d.OpTypes = append(d.OpTypes, t.told)
+	for _, t := range r.opTypes {
+		d.OpTypes = append(d.OpTypes, t.config)
 	}
 	return d
 }
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -11,13 +11,13 @@
 )
 
 // small is a world that a test plays in a fraction of a second.
-func small() World {
+func smallWorld() World {
 	w := Default()
 	w.Length, w.Gossip.Warm = 20*time.Second, 5*time.Second
 	return w
 }
 
-func play(t *testing.T, w World, faults []Fault, arm Arm, seed uint64) *Result {
+func runWorld(t *testing.T, w World, faults []Fault, arm Arm, seed uint64) *Result {
 	t.Helper()
 	r, err := Run(w, faults, arm, seed)
 	if err != nil {
@@ -26,15 +26,15 @@
 	return r
 }
 
-func TestTheSameSeedGivesTheSameDay(t *testing.T) {
-	w := small()
+func TestRunIsDeterministic(t *testing.T) {
+	w := smallWorld()
 	w.Network.Loss, w.Network.Twice, w.Network.Reorder = 0.1, 0.1, 0.1
 	faults := []Fault{{Kind: "hang", At: 2 * time.Second, For: 5 * time.Second, Count: 2}, {Kind: "gateway_crash", At: 4 * time.Second, Count: 1, Back: time.Second},
 		{Kind: "deploy", At: 5 * time.Second, For: 8 * time.Second, Share: 0.5}, {Kind: "liar", Count: 1, How: "all"},
 		{Kind: "gateway_pause", At: 9 * time.Second, Count: 1, Back: 2 * time.Second}}
 	var first []byte
 	for i := range 3 {
-		r := play(t, w, faults, Arm{Gossip: true}, 7)
+		r := runWorld(t, w, faults, Arm{Gossip: true}, 7)
 		text, err := json.Marshal(struct {
 			*Result
 			Latency []float64
@@ -48,17 +48,17 @@
 			t.Errorf("two plays of one day differ:\n%s\n%s", first, text)
 		}
 	}
-	if other := play(t, w, faults, Arm{Gossip: true}, 8); other.Asked == play(t, w, faults, Arm{}, 7).Asked {
+	if other := runWorld(t, w, faults, Arm{Gossip: true}, 8); other.Asked == runWorld(t, w, faults, Arm{}, 7).Asked {
 		t.Error("another seed gave as many ops")
 	}
 }
 
 // What is asked does not depend on who answers, or arms could not be compared.
-func TestArmsMeetTheSameOps(t *testing.T) {
+func TestArmsGetSameOps(t *testing.T) {
 	faults := []Fault{{Kind: "crash", At: 2 * time.Second, For: 5 * time.Second, Share: 0.2}, {Kind: "burst", At: 3 * time.Second, For: 3 * time.Second}}
-	asked := play(t, small(), faults, Arm{}, 1).Types
+	asked := runWorld(t, smallWorld(), faults, Arm{}, 1).Types
 	for _, policy := range Policies {
-		for i, other := range play(t, small(), faults, Arm{Policy: policy, Gossip: true}, 1).Types {
+		for i, other := range runWorld(t, smallWorld(), faults, Arm{Policy: policy, Gossip: true}, 1).Types {
 			if other.Asked != asked[i].Asked || other.Value != asked[i].Value {
 				t.Errorf("%s: %s asked %d times, by the module %d", policy, other.Name, other.Asked, asked[i].Asked)
 			}
@@ -67,15 +67,15 @@
 }
 
 // In every kind of trouble the module keeps the rules, with and without gossip, and the oracle does no worse than it.
-func TestTheModuleKeepsTheRulesInEveryTrouble(t *testing.T) {
+func TestModuleKeepsRulesUnderEveryFault(t *testing.T) {
 	names, _ := FaultKinds()
 	for i, name := range names {
-		w := small()
+		w := smallWorld()
 		w.Length, w.Servers.Groups, w.Servers.Members = 12*time.Second, 2, 3+i%3
 		w.Reports.Checks = []string{"none", "refuses", "waits"}[i%3]
 		f := []Fault{{Kind: name, At: 3 * time.Second, For: 8 * time.Second, Share: 0.3, Back: 2 * time.Second}}
-		with, without := play(t, w, f, Arm{Gossip: true}, uint64(i)), play(t, w, f, Arm{}, uint64(i))
-		oracle := play(t, w, f, Arm{Policy: "oracle"}, uint64(i))
+		with, without := runWorld(t, w, f, Arm{Gossip: true}, uint64(i)), runWorld(t, w, f, Arm{}, uint64(i))
+		oracle := runWorld(t, w, f, Arm{Policy: "oracle"}, uint64(i))
 		lies := name == "lying_position" // then stale reads are the servers' own doing
 		for arm, r := range map[string]*Result{"with": with, "without": without} {
 			if r.RulesBroken() > 0 && !(lies && r.RulesBroken() == r.Broken[4]) {
@@ -92,14 +92,14 @@
 }
 
 // mutate plays a day on which a policy that breaks a rule decides.
-func mutate(t *testing.T, w World, faults []Fault, choose func(p *plain, o *plainOp) *server, change func(p *plain) decider) *Result {
+func runMutant(t *testing.T, w World, faults []Fault, choose func(p *baselinePolicy, o *baselineOp) *server, change func(p *baselinePolicy) policy) *Result {
 	t.Helper()
-	r, err := newRun(w, faults, Arm{}, 1)
+	r, err := newSimulation(w, faults, Arm{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.mutant = func(g *gateway) decider {
-		p := newPlain(g, r.deployment(g), choose)
+	r.testPolicy = func(g *gateway) policy {
+		p := newBaselinePolicy(g, r.deployment(g), choose)
 		if change != nil {
 			return change(p)
 		}
@@ -110,7 +110,7 @@
 }
 
 // only tells that a mutant broke its rule, and no other.
-func only(t *testing.T, r *Result, rule int) {
+func expectOnly(t *testing.T, r *Result, rule int) {
 	t.Helper()
 	for i, n := range r.Broken {
 		if n > 0 != (i == rule-1) {
@@ -123,96 +123,96 @@
 	}
 }
 
-type silentOne struct{ *plain }
+type forgetfulPolicy struct{ *baselinePolicy }
 
 // Op forgets one op in ten.
-func (m silentOne) Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration, inGroup uint16, wroteAgo time.Duration, again bool) {
+func (m forgetfulPolicy) Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration, inGroup uint16, wroteAgo time.Duration, again bool) {
 	if id%10 > 0 {
-		m.plain.Op(now, id, kind, session, due, inGroup, wroteAgo, again)
+		m.baselinePolicy.Op(now, id, kind, session, due, inGroup, wroteAgo, again)
 	}
 }
 
-type talkative struct{ *plain }
+type resendingPolicy struct{ *baselinePolicy }
 
 // Answer sends once more after the end.
-func (m talkative) Answer(now time.Duration, id uint32, send uint8, at uint32, result choice.Result, took time.Duration, final bool, role choice.Role, pos time.Duration) {
-	m.plain.Answer(now, id, send, at, result, took, final, role, pos)
+func (m resendingPolicy) Answer(now time.Duration, id uint32, send uint8, at uint32, result choice.Result, took time.Duration, final bool, role choice.Role, pos time.Duration) {
+	m.baselinePolicy.Answer(now, id, send, at, result, took, final, role, pos)
 	if final && id%10 == 0 && send == 0 {
-		m.g.Send(id, at, 0)
+		m.gateway.Send(id, at, 0)
 	}
 }
 
-type hasty struct{ *plain }
+type duplicatingPolicy struct{ *baselinePolicy }
 
 // Op sends what has just been sent.
-func (m hasty) Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration, inGroup uint16, wroteAgo time.Duration, again bool) {
-	m.plain.Op(now, id, kind, session, due, inGroup, wroteAgo, again)
-	if o := m.ops[id]; o != nil && o.out != nil && id%10 == 0 {
-		m.g.Send(id, o.out.id, 0)
+func (m duplicatingPolicy) Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration, inGroup uint16, wroteAgo time.Duration, again bool) {
+	m.baselinePolicy.Op(now, id, kind, session, due, inGroup, wroteAgo, again)
+	if o := m.ops[id]; o != nil && o.sentTo != nil && id%10 == 0 {
+		m.gateway.Send(id, o.sentTo.id, 0)
 	}
 }
 
-func TestACheckerOfEachRuleCatchesAMutant(t *testing.T) {
-	only(t, mutate(t, small(), nil, (*plain).turnsFresh, func(p *plain) decider { return silentOne{p} }), 1)
-	only(t, mutate(t, small(), nil, (*plain).turnsFresh, func(p *plain) decider { return talkative{p} }), 1)
-	only(t, mutate(t, small(), nil, (*plain).turnsFresh, func(p *plain) decider { return hasty{p} }), 2)
+func TestCheckersDetectViolations(t *testing.T) {
+	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh, func(p *baselinePolicy) policy { return forgetfulPolicy{p} }), 1)
+	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh, func(p *baselinePolicy) policy { return resendingPolicy{p} }), 1)
+	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh, func(p *baselinePolicy) policy { return duplicatingPolicy{p} }), 2)
 
 	// Whatever has failed is sent again, and told to be harmless.
-	w := small()
+	w := smallWorld()
 	w.OpTypes[2].Effect = "non_retryable"
 	errors := []Fault{{Kind: "error", At: time.Second, Size: 0.5, Of: "primaries", Share: 1}}
-	only(t, mutate(t, w, errors, (*plain).turnsFresh, func(p *plain) decider {
-		for i := range p.d.OpTypes {
-			p.d.OpTypes[i].Effect = choice.Retryable
+	expectOnly(t, runMutant(t, w, errors, (*baselinePolicy).roundRobinFresh, func(p *baselinePolicy) policy {
+		for i := range p.deployment.OpTypes {
+			p.deployment.OpTypes[i].Effect = choice.Retryable
 		}
 		return p
 	}), 2)
 
 	// A draining server is as good as any.
 	drains := []Fault{{Kind: "drain", At: 3 * time.Second, Count: 3, Of: "replicas", Back: time.Second}}
-	w = small()
+	w = smallWorld()
 	w.Servers.Drain = 4 * time.Second
-	only(t, mutate(t, w, drains, (*plain).turnsFresh, func(p *plain) decider { return blind{p} }), 3)
+	expectOnly(t, runMutant(t, w, drains, (*baselinePolicy).roundRobinFresh, func(p *baselinePolicy) policy { return drainIgnoringPolicy{p} }), 3)
 
 	// Whoever has just started has most room.
-	w = small()
+	w = smallWorld()
 	w.Servers.ColdFrom, w.Servers.ColdTime, w.Rules.FallTime = 0.05, 20*time.Second, time.Second
 	w.Load.Use = 0.8
 	w.OpTypes[0].Need, w.OpTypes[1].Need = "any", "any"
 	w.List.Added, w.List.Spread = time.Millisecond, time.Millisecond
 	restart := []Fault{{Kind: "mass_restart", At: 3 * time.Second, Group: 1, Of: "replicas", Count: 1, Back: time.Second}}
-	r := mutate(t, w, restart, (*plain).coldest, nil)
-	only(t, r, 4)
+	r := runMutant(t, w, restart, (*baselinePolicy).newestStarted, nil)
+	expectOnly(t, r, 4)
 
-	w = small()
+	w = smallWorld()
 	w.OpTypes[0].Need = "any"
-	only(t, mutate(t, w, []Fault{{Kind: "slow_apply", At: time.Second, Share: 1, Of: "replicas"}}, (*plain).turns, nil), 5)
+	expectOnly(t, runMutant(t, w, []Fault{{Kind: "slow_apply", At: time.Second, Share: 1, Of: "replicas"}}, (*baselinePolicy).roundRobin, nil), 5)
 }
 
-type blind struct{ *plain }
+type drainIgnoringPolicy struct{ *baselinePolicy }
 
-func (m blind) List(now time.Duration, scope choice.ListScope, listed []choice.Listed) {
+func (m drainIgnoringPolicy) List(now time.Duration, scope choice.ListScope, listed []choice.Listed) {
 	for _, l := range listed {
 		if l.State == choice.Draining {
 			l.State = choice.Ready
 		}
-		m.plain.List(now, choice.ListChanges, []choice.Listed{l})
+		m.baselinePolicy.List(now, choice.ListChanges, []choice.Listed{l})
 	}
 }
 
 // turnsFresh takes members in turn whose true position will do.
-func (p *plain) turnsFresh(o *plainOp) *server {
+func (p *baselinePolicy) roundRobinFresh(o *baselineOp) *server {
 	if p.primaryOnly(o) {
-		return p.home(o)
+		return p.primary(o)
 	}
 	for range o.group.members {
-		p.turn++
-		s := o.group.members[p.turn%len(o.group.members)]
-		want := o.mark + p.g.base
-		if o.t.Need == choice.Bounded {
-			want = p.g.w.now - o.t.Bound
+		p.rotation++
+		s := o.group.members[p.rotation%len(o.group.members)]
+		want := o.minPosition + p.gateway.clockBase
+		if o.opType.Need == choice.Bounded {
+			want = p.gateway.sim.now - o.opType.Bound
 		}
-		if p.ready(s) && (s.primary() || s.position() >= want && (s.started == longAgo || s.ramp(p.g.w.now) >= 1)) {
+		if p.ready(s) && (s.isPrimary() || s.position() >= want && (s.startedAt == longAgo || s.speedShare(p.gateway.sim.now) >= 1)) {
 			return s
 		}
 	}
@@ -220,23 +220,23 @@
 }
 
 // coldest sends reads to what started last.
-func (p *plain) coldest(o *plainOp) (best *server) {
+func (p *baselinePolicy) newestStarted(o *baselineOp) (best *server) {
 	if p.primaryOnly(o) {
-		return p.home(o)
+		return p.primary(o)
 	}
 	for _, s := range o.group.members {
-		want := o.mark + p.g.base
-		if o.t.Need == choice.Bounded {
-			want = p.g.w.now - o.t.Bound
+		want := o.minPosition + p.gateway.clockBase
+		if o.opType.Need == choice.Bounded {
+			want = p.gateway.sim.now - o.opType.Bound
 		}
-		if s.runs() && p.ready(s) && (s.primary() || s.position() >= want) && (best == nil || s.started > best.started) {
+		if s.isUp() && p.ready(s) && (s.isPrimary() || s.position() >= want) && (best == nil || s.startedAt > best.startedAt) {
 			best = s
 		}
 	}
 	return best
 }
 
-func TestDrawsAreEvenAndOfTheStatedShape(t *testing.T) {
+func TestDrawDistributions(t *testing.T) {
 	const n = 200000
 	var sum, exp, log, logSquare float64
 	for i := range uint64(n) {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -12,15 +12,15 @@
 type condition uint8
 
 const (
-	up       condition = iota
-	crashed            // its process has ended: connections are reset, new ones refused
-	vanished           // the machine is silent
-	fallen             // it was pushed over while it was cold
+	serverUp         condition = iota
+	serverCrashed              // its process has ended: connections are reset, new ones refused
+	serverVanished             // the machine is silent
+	serverOverloaded           // it was pushed over while it was cold
 )
 
 // server is one database server. It works on as many ops at a time as it has cores, first come first served.
 type server struct {
-	w     *run
+	sim   *simulation
 	id    uint32
 	group *group
 	zone  int
@@ -28,63 +28,63 @@
 	cores int
 	speed float64 // drawn for the day
 
-	state    condition
-	draining bool
-	hung     bool
-	slow     float64 // factor on its work, 1 as a rule
-	fails    float64 // share of ops that end with an error
-	refuses  bool
-	badProbe float64       // share of probes that fail while ops are served
-	lies     time.Duration // by which it claims to be further than it is
-	slowLog  float64       // factor on the applying of the log
-	squeezed int           // connections it takes for now, 0: as usual
-	started  time.Duration
-	life     int // counts its starts; what belongs to an earlier one comes to nothing
-
-	busy     int
-	queue    []*attempt
-	stuck    []func() // what waits for a hung server to go on
-	open     int      // connections
-	inflight int      // attempts under way to it, as the oracle sees them
+	state           condition
+	draining        bool
+	hung            bool
+	slowdown        float64 // factor on its work, 1 as a rule
+	errorShare      float64 // share of ops that end with an error
+	refusing        bool
+	probeErrorShare float64       // share of probes that fail while ops are served
+	positionLead    time.Duration // by which it claims to be further than it is
+	applySlowdown   float64       // factor on the applying of the log
+	connectionLimit int           // connections it takes for now, 0: as usual
+	startedAt       time.Duration
+	generation      int // counts its starts; what belongs to an earlier one comes to nothing
+
+	busyCores       int
+	queue           []*attempt
+	deferred        []func() // what waits for a hung server to go on
+	openConnections int      // connections
+	openAttempts    int      // attempts under way to it, as the oracle sees them
 
 	// The log, on a replica: commits shipped and not applied, oldest first.
-	backlog    []time.Duration
-	applying   bool
-	applied    time.Duration // of what it has applied, the newest commit
-	holding    int           // long reads that stop the applying
-	waiting    []*attempt    // reads that wait for a position
-	wasPrimary bool
+	backlog      []time.Duration
+	applying     bool
+	appliedTo    time.Duration // of what it has applied, the newest commit
+	applyHolds   int           // long reads that stop the applying
+	waitingReads []*attempt    // reads that wait for a position
+	wasPrimary   bool
 
 	// Work sent to it while cold, for the rule and for its falling over.
-	window []coldWork
-	sum    float64
+	coldWindow  []coldWork
+	coldWorkSum float64
 }
 
 type coldWork struct {
-	at   time.Duration
-	work float64
-	told bool // its gateway knew, or is deemed to have known, of the start
+	at         time.Duration
+	work       float64
+	startKnown bool // its gateway knew, or is deemed to have known, of the start
 }
 
-func (s *server) runs() bool { return s.state == up }
+func (s *server) isUp() bool { return s.state == serverUp }
 
 // ramp is the share of its speed that a server has after a start.
-func (s *server) ramp(now time.Duration) float64 {
-	if s.started <= longAgo {
+func (s *server) speedShare(now time.Duration) float64 {
+	if s.startedAt <= longAgo {
 		return 1
 	}
-	c := &s.w.world.Servers
-	return min(1, c.ColdFrom+(1-c.ColdFrom)*float64(now-s.started)/float64(max(1, c.ColdTime)))
+	c := &s.sim.world.Servers
+	return min(1, c.ColdFrom+(1-c.ColdFrom)*float64(now-s.startedAt)/float64(max(1, c.ColdTime)))
 }
 
 // pace is the work that one of its cores does in a second now.
-func (s *server) pace() float64 { return s.speed * s.ramp(s.w.now) / s.slow }
+func (s *server) currentSpeed() float64 { return s.speed * s.speedShare(s.sim.now) / s.slowdown }
 
-func (s *server) primary() bool { return s.group.primary == s }
+func (s *server) isPrimary() bool { return s.group.primary == s }
 
 // role is what the server says it is.
 func (s *server) role() choice.Role {
-	if s.primary() {
+	if s.isPrimary() {
 		return choice.Primary
 	}
 	return choice.Replica
@@ -93,20 +93,20 @@
 // position is how far the server's data reach: a primary stands at the present, a replica at what it has applied, or where
 // nothing is left to apply, at what the primary can have shipped by now.
 func (s *server) position() time.Duration {
-	if s.primary() {
-		return s.w.now
+	if s.isPrimary() {
+		return s.sim.now
 	}
 	if len(s.backlog) > 0 {
-		return max(s.applied, s.backlog[0]-1) // all before the next commit is there
+		return max(s.appliedTo, s.backlog[0]-1) // all before the next commit is there
 	}
-	if p := s.group.primary; p != nil && p.runs() && !p.hung {
-		return max(s.applied, s.w.now-s.w.world.Log.Ship)
+	if p := s.group.primary; p != nil && p.isUp() && !p.hung {
+		return max(s.appliedTo, s.sim.now-s.sim.world.Log.Ship)
 	}
-	return max(s.applied, s.group.lostAt-s.w.world.Log.Ship)
+	return max(s.appliedTo, s.group.primaryLostAt-s.sim.world.Log.Ship)
 }
 
 // told is the position that the server tells.
-func (s *server) told() time.Duration { return s.position() + s.lies }
+func (s *server) reportedPosition() time.Duration { return s.position() + s.positionLead }
 
 // commit is called when the primary has committed a write.
 func (g *group) commit(now time.Duration) {
@@ -115,7 +115,7 @@
 		g.commits = append(g.commits[:0], g.commits[len(g.commits)-keptCommits:]...)
 	}
 	for _, s := range g.members {
-		if s != g.primary && s.runs() {
+		if s != g.primary && s.isUp() {
 			s.ship(now)
 		}
 	}
@@ -125,9 +125,9 @@
 const keptCommits = 4096
 
 func (s *server) ship(commit time.Duration) {
-	life := s.life
-	s.w.after(s.w.world.Log.Ship, func() {
-		if s.life == life && s.runs() && !s.primary() {
+	life := s.generation
+	s.sim.after(s.sim.world.Log.Ship, func() {
+		if s.generation == life && s.isUp() && !s.isPrimary() {
 			s.backlog = append(s.backlog, commit)
 			s.apply()
 		}
@@ -136,37 +136,37 @@
 
 // apply works on the next commit of the backlog, unless something holds it up.
 func (s *server) apply() {
-	if s.applying || len(s.backlog) == 0 || s.holding > 0 || !s.runs() || s.hung || s.primary() {
+	if s.applying || len(s.backlog) == 0 || s.applyHolds > 0 || !s.isUp() || s.hung || s.isPrimary() {
 		return
 	}
 	s.applying = true
-	life, commit := s.life, s.backlog[0]
-	u := draw(s.w.seed, 0x10f, uint64(s.id), uint64(commit))
-	work := time.Duration(float64(s.w.world.Log.Apply) * exponential(u) * s.slowLog / s.pace())
-	s.w.after(work, func() {
-		if s.life != life || !s.applying {
+	life, commit := s.generation, s.backlog[0]
+	u := draw(s.sim.seed, 0x10f, uint64(s.id), uint64(commit))
+	work := time.Duration(float64(s.sim.world.Log.Apply) * exponential(u) * s.applySlowdown / s.currentSpeed())
+	s.sim.after(work, func() {
+		if s.generation != life || !s.applying {
 			return
 		}
 		s.applying = false
 		s.backlog = s.backlog[1:]
-		if !s.runs() {
+		if !s.isUp() {
 			return
 		}
-		s.applied = max(s.applied, commit)
+		s.appliedTo = max(s.appliedTo, commit)
 		s.apply()
-		s.reached()
+		s.serveWaitingReads()
 	})
 }
 
 // reached serves the reads that waited for a position.
-func (s *server) reached() {
-	waiting := s.waiting
-	s.waiting = nil
+func (s *server) serveWaitingReads() {
+	waiting := s.waitingReads
+	s.waitingReads = nil
 	for _, a := range waiting {
-		if a.want <= s.position() {
+		if a.minPosition <= s.position() {
 			s.begin(a)
 		} else {
-			s.waiting = append(s.waiting, a)
+			s.waitingReads = append(s.waitingReads, a)
 		}
 	}
 }
@@ -174,81 +174,81 @@
 // arrive takes an attempt whose last byte has come. Where the process does not run the network has answered before.
 func (s *server) arrive(a *attempt) {
 	if s.hung {
-		s.stuck = append(s.stuck, func() { s.arrive(a) })
+		s.deferred = append(s.deferred, func() { s.arrive(a) })
 		return
 	}
-	c := &s.w.world.Servers
-	s.cold(a)
-	if !s.runs() { // it has just fallen over
+	c := &s.sim.world.Servers
+	s.countColdWork(a)
+	if !s.isUp() { // it has just fallen over
 		return
 	}
-	isWrite := a.t.need == choice.Write
+	isWrite := a.opType.need == choice.Write
 	switch {
-	case s.draining || s.refuses:
+	case s.draining || s.refusing:
 		s.reply(a, choice.ServerFull)
-	case isWrite && !s.primary():
+	case isWrite && !s.isPrimary():
 		s.reply(a, choice.Declined)
-	case !isWrite && s.w.checks == choice.Refuses && !s.primary() && a.want > s.told():
+	case !isWrite && s.sim.checks == choice.Refuses && !s.isPrimary() && a.minPosition > s.reportedPosition():
 		s.reply(a, choice.Declined)
-	case !isWrite && s.w.checks == choice.Waits && !s.primary() && a.want > s.told():
-		s.waiting = append(s.waiting, a)
-	case s.busy >= s.cores && len(s.queue) >= c.Queue*s.cores:
+	case !isWrite && s.sim.checks == choice.Waits && !s.isPrimary() && a.minPosition > s.reportedPosition():
+		s.waitingReads = append(s.waitingReads, a)
+	case s.busyCores >= s.cores && len(s.queue) >= c.Queue*s.cores:
 		s.reply(a, choice.ServerFull)
 	default:
-		s.group.comes(a)
+		s.group.noteTokenedSend(a)
 		s.begin(a)
 	}
 }
 
 // begin lets an attempt work, or wait for a core.
 func (s *server) begin(a *attempt) {
-	if s.busy >= s.cores {
+	if s.busyCores >= s.cores {
 		s.queue = append(s.queue, a)
 		return
 	}
-	s.busy++
-	if a.t.HoldsApply && !s.primary() {
-		s.holding++
-		a.holds = true
+	s.busyCores++
+	if a.opType.HoldsApply && !s.isPrimary() {
+		s.applyHolds++
+		a.holdsApply = true
 	}
 	a.running = true
-	s.w.check.began(s, a)
-	life := s.life
-	took := time.Duration(a.work / s.pace())
-	s.w.after(took, func() { s.finish(a, life) })
+	s.sim.checker.workBegan(s, a)
+	life := s.generation
+	took := time.Duration(a.work / s.currentSpeed())
+	s.sim.after(took, func() { s.finish(a, life) })
 }
 
 // finish ends an attempt's work.
 func (s *server) finish(a *attempt, life int) {
-	if s.life != life {
+	if s.generation != life {
 		return
 	}
 	if s.hung { // what was at work stands still too
-		s.stuck = append(s.stuck, func() { s.finish(a, life) })
+		s.deferred = append(s.deferred, func() { s.finish(a, life) })
 		return
 	}
-	s.busy--
-	if a.holds {
-		s.holding--
+	s.busyCores--
+	if a.holdsApply {
+		s.applyHolds--
 		s.apply()
 	}
-	for len(s.queue) > 0 && s.busy < s.cores {
+	for len(s.queue) > 0 && s.busyCores < s.cores {
 		next := s.queue[0]
 		s.queue = s.queue[1:]
 		if !next.dropped {
 			s.begin(next)
 		}
 	}
-	failed := s.fails > 0 && draw(s.w.seed, 0xfa17, a.req.id, uint64(a.trial.gw.index), uint64(a.number)) < s.fails
-	if a.t.need == choice.Write {
+	failed := s.errorShare > 0 && draw(s.sim.seed, 0xfa17, a.request.id, uint64(a.op.gateway.index), uint64(a.number)) < s.errorShare
+	if a.opType.need == choice.Write {
 		switch {
-		case !s.primary(): // it lost the role while it worked
+		case !s.isPrimary(): // it lost the role while it worked
 			s.reply(a, choice.ServerError)
 			return
-		case !failed || draw(s.w.seed, 0xeffec7, a.req.id, uint64(a.number)) < 0.5:
-			if s.group.fresh(s.w.now, a) { // a repeat of a tokened op has no second effect
-				s.w.check.effect(s, a)
-				s.group.commit(s.w.now)
+		case !failed || draw(s.sim.seed, 0xeffec7, a.request.id, uint64(a.number)) < 0.5:
+			if s.group.takesEffect(s.sim.now, a) { // a repeat of a tokened op has no second effect
+				s.sim.checker.writeTookEffect(s, a)
+				s.group.commit(s.sim.now)
 			}
 		}
 	}
@@ -262,85 +262,85 @@
 // reply sends the answer on its way.
 func (s *server) reply(a *attempt, result choice.Result) {
 	role, pos := choice.RoleUnknown, choice.LongPast
-	if s.w.world.Reports.Answers {
-		role, pos = s.role(), s.told()
+	if s.sim.world.Reports.Answers {
+		role, pos = s.role(), s.reportedPosition()
 	}
-	s.w.answer(a, result, role, pos)
+	s.sim.returnAnswer(a, result, role, pos)
 }
 
 // cold accounts for work that arrives at a cold server, and lets it fall over where that was too much.
-func (s *server) cold(a *attempt) {
-	if s.started <= longAgo || s.w.world.Rules.Overload <= 0 || s.ramp(s.w.now) >= 1 {
+func (s *server) countColdWork(a *attempt) {
+	if s.startedAt <= longAgo || s.sim.world.Rules.Overload <= 0 || s.speedShare(s.sim.now) >= 1 {
 		return
 	}
-	r := &s.w.world.Rules
-	s.window = append(s.window, coldWork{s.w.now, a.work, a.trial.gw.knowsStart(s)})
-	s.sum += a.work
-	for s.window[0].at <= s.w.now-r.FallTime {
-		s.sum -= s.window[0].work
-		s.window = s.window[1:]
+	r := &s.sim.world.Rules
+	s.coldWindow = append(s.coldWindow, coldWork{s.sim.now, a.work, a.op.gateway.knowsStart(s)})
+	s.coldWorkSum += a.work
+	for s.coldWindow[0].at <= s.sim.now-r.FallTime {
+		s.coldWorkSum -= s.coldWindow[0].work
+		s.coldWindow = s.coldWindow[1:]
 	}
 	// The ramp's mean over the window, as the server would have worked it off.
-	can := float64(s.cores) * s.speed * s.ramp(max(s.started, s.w.now-r.FallTime/2)) * float64(r.FallTime)
-	slack := 4 * float64(s.w.meanWork) // so that chance alone pushes nobody over
-	if s.sum <= r.Overload*can+slack {
+	can := float64(s.cores) * s.speed * s.speedShare(max(s.startedAt, s.sim.now-r.FallTime/2)) * float64(r.FallTime)
+	slack := 4 * float64(s.sim.meanWork) // so that chance alone pushes nobody over
+	if s.coldWorkSum <= r.Overload*can+slack {
 		return
 	}
 	told := 0.0
-	for _, c := range s.window {
-		if c.told {
+	for _, c := range s.coldWindow {
+		if c.startKnown {
 			told += c.work
 		}
 	}
-	s.w.event("server %d pushed over while cold", s.id)
-	if told >= s.sum*2/3 {
-		s.w.check.broke(4, a.trial, fmt.Sprintf("server %d was sent %v of work in %v, %.1f times what it can do", s.id,
-			time.Duration(s.sum).Round(time.Millisecond), r.FallTime, s.sum/can))
+	s.sim.recordEvent("server %d pushed over while cold", s.id)
+	if told >= s.coldWorkSum*2/3 {
+		s.sim.checker.recordViolation(4, a.op, fmt.Sprintf("server %d was sent %v of work in %v, %.1f times what it can do", s.id,
+			time.Duration(s.coldWorkSum).Round(time.Millisecond), r.FallTime, s.coldWorkSum/can))
 	}
-	s.crash(fallen)
+	s.crash(serverOverloaded)
 }
 
 // crash ends the process, or the machine.
 func (s *server) crash(how condition) {
-	if !s.runs() {
+	if !s.isUp() {
 		return
 	}
-	s.applied = s.position()
+	s.appliedTo = s.position()
 	s.state = how
-	s.life++
-	s.busy, s.holding, s.applying = 0, 0, false
-	s.queue, s.stuck, s.waiting, s.window, s.sum, s.hung = nil, nil, nil, nil, 0, false
-	s.w.broken(s, how != vanished)
-	s.group.lost(s)
-	s.w.lists.changed(s)
+	s.generation++
+	s.busyCores, s.applyHolds, s.applying = 0, 0, false
+	s.queue, s.deferred, s.waitingReads, s.coldWindow, s.coldWorkSum, s.hung = nil, nil, nil, nil, 0, false
+	s.sim.breakConnections(s, how != serverVanished)
+	s.group.memberLost(s)
+	s.sim.discovery.serverChanged(s)
 }
 
 // start brings a server back, cold, with the log where it stood.
 func (s *server) start() {
-	if s.runs() {
+	if s.isUp() {
 		return
 	}
-	if s.state == vanished {
-		s.w.broken(s, true) // connections that were open are reset when the machine is back
+	if s.state == serverVanished {
+		s.sim.breakConnections(s, true) // connections that were open are reset when the machine is back
 	}
-	s.state, s.life, s.started, s.draining = up, s.life+1, s.w.now, false
+	s.state, s.generation, s.startedAt, s.draining = serverUp, s.generation+1, s.sim.now, false
 	s.backlog = nil
 	s.group.rejoin(s)
-	s.w.lists.changed(s)
+	s.sim.discovery.serverChanged(s)
 }
 
 // freezes makes a server take ops and answer none, or go on.
-func (s *server) freezes(hung bool) {
-	if s.hung == hung || !s.runs() {
+func (s *server) setHung(hung bool) {
+	if s.hung == hung || !s.isUp() {
 		return
 	}
 	s.hung = hung
 	if hung {
-		s.group.lost(s)
+		s.group.memberLost(s)
 		return
 	}
-	stuck := s.stuck
-	s.stuck = nil
+	stuck := s.deferred
+	s.deferred = nil
 	for _, do := range stuck {
 		do()
 	}
@@ -351,14 +351,14 @@
 }
 
 // drains makes a server refuse what is new; it ends when it has had time to finish.
-func (s *server) drains() {
+func (s *server) drain() {
 	s.draining = true
-	s.group.handover(s)
-	s.w.lists.changed(s)
-	life := s.life
-	s.w.after(s.w.world.Servers.Drain, func() {
-		if s.life == life && s.draining {
-			s.crash(crashed)
+	s.group.handOver(s)
+	s.sim.discovery.serverChanged(s)
+	life := s.generation
+	s.sim.after(s.sim.world.Servers.Drain, func() {
+		if s.generation == life && s.draining {
+			s.crash(serverCrashed)
 		}
 	})
 }
--- a/internal/emulator/valid.go
+++ b/internal/emulator/valid.go
@@ -117,7 +117,7 @@
 	names, _ := FaultKinds()
 	for i, x := range faults {
 		at := fmt.Sprintf("%s[%d]", key, i)
-		if kinds[x.Kind] == nil {
+		if faultKinds[x.Kind] == nil {
 			f.Wrong(at+".kind", "%q is no fault; %s are", x.Kind, strings.Join(names, ", "))
 			continue
 		}
