--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -46,27 +46,27 @@
 	at          time.Duration
 }
 
-func newClients(r *simulation) *clients {
-	c := &clients{sim: r, rng: rand.New(rand.NewPCG(r.seed, 3)), knownCommits: map[uint64]time.Duration{}}
+func newClients(sim *simulation) *clients {
+	c := &clients{sim: sim, rng: rand.New(rand.NewPCG(sim.seed, 3)), knownCommits: map[uint64]time.Duration{}}
 	sum := 0.0
-	for _, t := range r.opTypes {
+	for _, t := range sim.opTypes {
 		sum += t.Share
 		c.cumulativeShares = append(c.cumulativeShares, sum)
 	}
 	total := 0.0
-	for i := range r.groups {
-		total += 1 + r.world.Load.Skew*(2*draw(r.seed, 0x5e3, uint64(i))-1)
+	for i := range sim.groups {
+		total += 1 + sim.world.Load.Skew*(2*draw(sim.seed, 0x5e3, uint64(i))-1)
 		c.cumulativeGroupWeights = append(c.cumulativeGroupWeights, total)
 	}
-	c.baseRate = r.world.Load.PerSecond
+	c.baseRate = sim.world.Load.PerSecond
 	if c.baseRate == 0 {
 		capacity := 0.0
-		for _, s := range r.servers {
+		for _, s := range sim.servers {
 			capacity += s.capacity()
 		}
-		c.baseRate = r.world.Load.Use * capacity / r.meanWork.Seconds()
+		c.baseRate = sim.world.Load.Use * capacity / sim.meanWork.Seconds()
 	}
-	c.recentWrites = make([][]recentWrite, len(r.groups))
+	c.recentWrites = make([][]recentWrite, len(sim.groups))
 	return c
 }
 
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -34,7 +34,7 @@
 	doc         string
 	defaultSize float64 // where the file says nothing
 	target      targetKind
-	begin       func(f *Fault, r *simulation, servers []*server, gateways []*gateway) (end func())
+	begin       func(f *Fault, sim *simulation, servers []*server, gateways []*gateway) (end func())
 }
 
 // strikes is what a fault is aimed at.
@@ -88,10 +88,10 @@
 	faultKinds["probe_fail"] = &faultKind{doc: "a share of probes, size, fails while ops are served", defaultSize: 1, target: targetServers,
 		begin: each(func(f *Fault, s *server) func() { s.probeErrorShare = f.Size; return func() { s.probeErrorShare = 0 } })}
 	faultKinds["squeeze"] = &faultKind{doc: "servers take size connections for each gateway over all servers, and close idle ones", defaultSize: 3, target: targetServers,
-		begin: func(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
+		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
-				s.connectionLimit = max(1, int(f.Size*float64(len(r.gateways))/float64(len(r.servers)))) + s.cores
-				r.closeIdleConnections(s)
+				s.connectionLimit = max(1, int(f.Size*float64(len(sim.gateways))/float64(len(sim.servers)))) + s.cores
+				sim.closeIdleConnections(s)
 			}
 			return func() {
 				for _, s := range servers {
@@ -104,63 +104,65 @@
 	faultKinds["deploy"] = &faultKind{doc: "a rolling deploy over the fault's time: servers drain one after another, a share of size at a time", defaultSize: 0.1,
 		target: targetServers, begin: replaceServers}
 	faultKinds["mass_restart"] = &faultKind{doc: "servers end at once and are back, cold, after back", target: targetServers,
-		begin: func(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
+		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
 				s.crash(serverCrashed)
-				r.after(max(f.Back, time.Second)+time.Duration(f.rng.Int64N(int64(500*time.Millisecond))), s.start)
+				sim.after(max(f.Back, time.Second)+time.Duration(f.rng.Int64N(int64(500*time.Millisecond))), s.start)
 			}
 			return func() {}
 		}}
 	faultKinds["burst"] = &faultKind{doc: "ops come in at size times the rate", defaultSize: 1.8, target: targetNone,
-		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
-			r.clients.bursts = append(r.clients.bursts, f)
-			return func() { r.clients.bursts = slices.DeleteFunc(r.clients.bursts, func(b *Fault) bool { return b == f }) }
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			sim.clients.bursts = append(sim.clients.bursts, f)
+			return func() {
+				sim.clients.bursts = slices.DeleteFunc(sim.clients.bursts, func(b *Fault) bool { return b == f })
+			}
 		}}
 	faultKinds["list_down"] = &faultKind{doc: "the list answers nobody and ends all watches", target: targetNone,
-		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
-			r.discovery.setDown(true)
-			return func() { r.discovery.setDown(false) }
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			sim.discovery.setDown(true)
+			return func() { sim.discovery.setDown(false) }
 		}}
 	faultKinds["list_silent"] = &faultKind{doc: "watches that are open hear nothing more; each instance gives its own up after a while", target: targetNone,
-		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
-			r.discovery.silenceWatches()
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			sim.discovery.silenceWatches()
 			return func() {}
 		}}
 	faultKinds["list_frozen"] = &faultKind{doc: "the list goes on telling what it knew", target: targetNone,
-		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
-			r.discovery.frozen = true
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			sim.discovery.frozen = true
 			return func() {
-				r.discovery.frozen = false
-				for _, s := range r.servers {
-					r.discovery.update(s)
+				sim.discovery.frozen = false
+				for _, s := range sim.servers {
+					sim.discovery.update(s)
 				}
 			}
 		}}
 	faultKinds["list_wrong"] = &faultKind{doc: "the list calls servers gone that run", target: targetServers,
-		begin: func(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
+		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			tell := func() {
 				for _, s := range servers {
-					if e := r.discovery.entries[s]; e != nil {
-						r.discovery.push([]*listEntry{e})
+					if e := sim.discovery.entries[s]; e != nil {
+						sim.discovery.push([]*listEntry{e})
 					}
 				}
 			}
 			for _, s := range servers {
-				r.discovery.falseStates[s] = choice.Gone
+				sim.discovery.falseStates[s] = choice.Gone
 			}
 			tell()
 			return func() {
 				for _, s := range servers {
-					delete(r.discovery.falseStates, s)
+					delete(sim.discovery.falseStates, s)
 				}
 				tell()
 			}
 		}}
 	faultKinds["gateway_crash"] = &faultKind{doc: "instances end at once and are back after back, with nothing but their list", target: targetGateways,
-		begin: func(f *Fault, r *simulation, _ []*server, gateways []*gateway) func() {
+		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
 				g.crash()
-				r.after(max(f.Back, 100*time.Millisecond), func() {
+				sim.after(max(f.Back, 100*time.Millisecond), func() {
 					if g.down {
 						g.start()
 					}
@@ -169,7 +171,7 @@
 			return func() {}
 		}}
 	faultKinds["gateway_pause"] = &faultKind{doc: "instances stand still for back", target: targetGateways,
-		begin: func(f *Fault, r *simulation, _ []*server, gateways []*gateway) func() {
+		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
 				if !g.down {
 					g.pause(max(f.Back, 100*time.Millisecond))
@@ -178,11 +180,11 @@
 			return func() {}
 		}}
 	faultKinds["gateway_roll"] = &faultKind{doc: "instances end one after another over the fault's time and are back after back", target: targetGateways,
-		begin: func(f *Fault, r *simulation, _ []*server, gateways []*gateway) func() {
+		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for i, g := range gateways {
-				r.after(time.Duration(int64(f.For)*int64(i)/int64(len(gateways))), func() {
+				sim.after(time.Duration(int64(f.For)*int64(i)/int64(len(gateways))), func() {
 					g.crash()
-					r.after(max(f.Back, 100*time.Millisecond), func() {
+					sim.after(max(f.Back, 100*time.Millisecond), func() {
 						if g.down {
 							g.start()
 						}
@@ -192,46 +194,46 @@
 			return func() {}
 		}}
 	faultKinds["one_sided"] = &faultKind{doc: "a share of the instances, size, cannot reach the servers struck", defaultSize: 0.5, target: targetServers,
-		begin: func(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
+		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			c := &networkCut{gateways: map[int]bool{}, servers: map[int]bool{}, toServer: f.How != "answers", toInstance: f.How != "sends"}
-			for _, i := range f.rng.Perm(len(r.gateways))[:max(1, int(f.Size*float64(len(r.gateways))))] {
+			for _, i := range f.rng.Perm(len(sim.gateways))[:max(1, int(f.Size*float64(len(sim.gateways))))] {
 				c.gateways[i] = true
 			}
 			for _, s := range servers {
 				c.servers[int(s.id)] = true
 			}
-			return r.addCut(c)
+			return sim.addCut(c)
 		}}
 	faultKinds["partition"] = &faultKind{doc: "a share of the instances, size, and the others do not hear each other; how: one_way, then only the others do not hear it",
-		defaultSize: 0.5, target: targetNone, begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
+		defaultSize: 0.5, target: targetNone, begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
 			in, out := map[int]bool{}, map[int]bool{}
-			for i, g := range f.rng.Perm(len(r.gateways)) {
-				if i < int(f.Size*float64(len(r.gateways))) {
+			for i, g := range f.rng.Perm(len(sim.gateways)) {
+				if i < int(f.Size*float64(len(sim.gateways))) {
 					in[g] = true
 				} else {
 					out[g] = true
 				}
 			}
-			end := r.addCut(&networkCut{betweenGateways: true, fromGateways: in, toGateways: out})
+			end := sim.addCut(&networkCut{betweenGateways: true, fromGateways: in, toGateways: out})
 			back := func() {}
 			if f.How != "one_way" {
-				back = r.addCut(&networkCut{betweenGateways: true, fromGateways: out, toGateways: in})
+				back = sim.addCut(&networkCut{betweenGateways: true, fromGateways: out, toGateways: in})
 			}
 			return func() { end(); back() }
 		}}
 	faultKinds["network"] = &faultKind{doc: "a share of datagrams, size, is lost; as many come twice and as many late", defaultSize: 0.1, target: targetNone,
-		begin: func(f *Fault, r *simulation, _ []*server, _ []*gateway) func() {
-			n := &r.world.Network
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			n := &sim.world.Network
 			old := *n
 			n.Loss, n.Twice, n.Reorder = f.Size, f.Size, f.Size
 			return func() { n.Loss, n.Twice, n.Reorder = old.Loss, old.Twice, old.Reorder }
 		}}
 	faultKinds["liar"] = &faultKind{doc: "instances lie in the gossip; how: primaries, all, accuse, replay, future, contradict, praise or mixed", target: targetGateways,
-		begin: func(f *Fault, r *simulation, _ []*server, gateways []*gateway) func() {
-			if r.gossipNet == nil {
+		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
+			if sim.gossipNet == nil {
 				return func() {}
 			}
-			return r.gossipNet.startLiars(f, gateways)
+			return sim.gossipNet.startLiars(f, gateways)
 		}}
 }
 
@@ -247,16 +249,16 @@
 }
 
 // cut cuts a way until the returned function is called.
-func (r *simulation) addCut(c *networkCut) func() {
-	r.cuts = append(r.cuts, c)
+func (sim *simulation) addCut(c *networkCut) func() {
+	sim.cuts = append(sim.cuts, c)
 	return func() {
-		r.cuts = slices.DeleteFunc(r.cuts, func(x *networkCut) bool { return x == c })
+		sim.cuts = slices.DeleteFunc(sim.cuts, func(x *networkCut) bool { return x == c })
 	}
 }
 
 // closeIdle closes all connections to a server that are not in use.
-func (r *simulation) closeIdleConnections(s *server) {
-	for _, g := range r.gateways {
+func (sim *simulation) closeIdleConnections(s *server) {
+	for _, g := range sim.gateways {
 		if int(s.id) <= len(g.pools) && g.pools[s.id-1] != nil && g.pools[s.id-1].generation == s.generation {
 			l := g.pools[s.id-1]
 			s.openConnections -= len(l.idleSince)
@@ -266,7 +268,7 @@
 }
 
 // neighbour slows machines down, on and off.
-func slowByNeighbour(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
+func slowByNeighbour(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 	over := false
 	factor := 1 / (1 - min(0.95, f.Size))
 	for _, s := range servers {
@@ -280,7 +282,7 @@
 				s.slowdown *= factor
 			}
 			if !over {
-				r.after(time.Duration((0.5+f.rng.Float64())*float64(2*time.Second)), turn)
+				sim.after(time.Duration((0.5+f.rng.Float64())*float64(2*time.Second)), turn)
 			}
 		}
 		turn()
@@ -289,7 +291,7 @@
 }
 
 // roll replaces servers, so many at a time, over the fault's time.
-func replaceServers(f *Fault, r *simulation, servers []*server, _ []*gateway) func() {
+func replaceServers(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 	atOnce := len(servers)
 	if f.Kind == "deploy" {
 		atOnce = max(1, int(f.Size*float64(len(servers))))
@@ -300,19 +302,19 @@
 		if f.For > 0 && steps > 1 {
 			after = f.For / time.Duration(steps) * time.Duration(i/atOnce)
 		}
-		r.after(after, func() {
+		sim.after(after, func() {
 			if !s.isUp() || s.draining {
 				return
 			}
 			s.drain()
-			r.after(max(f.Back, 500*time.Millisecond), func() { s.group.replace(s) })
+			sim.after(max(f.Back, 500*time.Millisecond), func() { s.group.replace(s) })
 		})
 	}
 	return func() {}
 }
 
 // ready checks a fault and gives it its own chance.
-func (f *Fault) prepare(r *simulation, order int) error {
+func (f *Fault) prepare(sim *simulation, order int) error {
 	f.kind = faultKinds[f.Kind]
 	if f.kind == nil {
 		return fmt.Errorf("faults[%d].kind: %q is no fault", order, f.Kind)
@@ -321,32 +323,32 @@
 		f.Size = f.kind.defaultSize
 	}
 	f.order = order
-	f.rng = rand.New(rand.NewPCG(r.seed, 0xfa01+uint64(order)))
+	f.rng = rand.New(rand.NewPCG(sim.seed, 0xfa01+uint64(order)))
 	return nil
 }
 
 // plan lets the fault strike at its time, counted from the first op.
-func (f *Fault) schedule(r *simulation, start time.Duration) {
+func (f *Fault) schedule(sim *simulation, start time.Duration) {
 	var strike func()
 	strike = func() {
-		servers, gateways := f.pickTargets(r)
-		r.recordEvent("%s begins%s", f.Kind, targetNames(servers, gateways))
-		end := f.kind.begin(f, r, servers, gateways)
+		servers, gateways := f.pickTargets(sim)
+		sim.recordEvent("%s begins%s", f.Kind, targetNames(servers, gateways))
+		end := f.kind.begin(f, sim, servers, gateways)
 		if f.For > 0 {
-			r.after(f.For, func() {
+			sim.after(f.For, func() {
 				end()
-				r.recordEvent("%s ends", f.Kind)
+				sim.recordEvent("%s ends", f.Kind)
 			})
 		}
 		if f.Every > 0 {
-			r.after(f.Every, func() {
-				if r.now < start+r.world.Length {
+			sim.after(f.Every, func() {
+				if sim.now < start+sim.world.Length {
 					strike()
 				}
 			})
 		}
 	}
-	r.at(start+f.At, strike)
+	sim.at(start+f.At, strike)
 }
 
 func targetNames(servers []*server, gateways []*gateway) (s string) {
@@ -367,7 +369,7 @@
 }
 
 // targets draws what is struck.
-func (f *Fault) pickTargets(r *simulation) (servers []*server, gateways []*gateway) {
+func (f *Fault) pickTargets(sim *simulation) (servers []*server, gateways []*gateway) {
 	amount := func(of int) int {
 		n := f.Count
 		if f.Share > 0 {
@@ -377,7 +379,7 @@
 	}
 	if f.kind.target == targetServers || f.kind.target == targetBoth {
 		var fit []*server
-		for _, s := range r.servers {
+		for _, s := range sim.servers {
 			if !s.isUp() || s.draining || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.group.index != f.Group-1 ||
 				f.Of == "primaries" && !s.isPrimary() || f.Of == "replicas" && s.isPrimary() {
 				continue
@@ -391,8 +393,8 @@
 		}
 	}
 	if f.kind.target == targetGateways || f.kind.target == targetBoth {
-		for _, i := range f.rng.Perm(len(r.gateways))[:amount(len(r.gateways))] {
-			gateways = append(gateways, r.gateways[i])
+		for _, i := range f.rng.Perm(len(sim.gateways))[:amount(len(sim.gateways))] {
+			gateways = append(gateways, sim.gateways[i])
 		}
 	}
 	return servers, gateways
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -6,10 +6,13 @@
 	"gorsewell/choice"
 )
 
-// decider is what decides in a gateway: the module, or what it is compared with.
+// policy decides in a gateway where ops go. It is the decision module, choice.Gateway, or a baselinePolicy to compare
+// it with.
 type policy interface {
-	Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration, inGroup uint16, wroteAgo time.Duration, again bool)
-	Answer(now time.Duration, id uint32, send uint8, at uint32, result choice.Result, took time.Duration, final bool, role choice.Role, pos time.Duration)
+	Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration, groupID uint16,
+		writeAge time.Duration, isRetry bool)
+	Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result, took time.Duration, final bool,
+		role choice.Role, pos time.Duration)
 	Report(now time.Duration, id uint32, role choice.Role, pos time.Duration)
 	ProbeAnswer(now time.Duration, id uint32, result choice.Result, took time.Duration)
 	ClientGone(now time.Duration, id uint32)
@@ -18,120 +21,122 @@
 	Timer(now time.Duration, id uint32)
 }
 
-// gateway is one instance. It is its decider's Host and holds no decision itself.
+// gateway is one instance. It is the choice.Host of its policy and makes no decisions itself.
 type gateway struct {
 	sim         *simulation
 	index       int
 	zone        int
-	generation  int // counts its starts
+	generation  int // number of starts and crashes
 	down        bool
 	downAt      time.Duration
-	clockBase   time.Duration // of its clock
-	pausedUntil time.Duration // paused so long
-	deferred    []func()      // what came while it was paused
+	clockBase   time.Duration // virtual time at which the gateway's clock shows 0
+	pausedUntil time.Duration
+	deferred    []func() // what came in during the pause
 
 	policy       policy
 	ops          map[uint32]*gatewayOp
 	lastOpID     uint32
-	pools        []*connPool // by server
+	pools        []*connPool // index: server id - 1
 	watchesList  bool
-	lastListAt   time.Duration
-	knownStarts  map[*server]time.Duration // when it was told of a server's start
-	replicaSince map[*server]time.Duration // when an answer first said, since it last said otherwise, that one is a replica
-	gossipNode   *instance                 // its part in the gossip, or nil
-	listBuffer   []choice.Listed
+	lastListAt   time.Duration             // when the policy was last handed a list, changes or a failure
+	knownStarts  map[*server]time.Duration // by server: its latest start that the list has told
+	replicaSince map[*server]time.Duration // by server: when it first told that it is a replica, since it last told otherwise
+	gossipNode   *instance                 // nil without gossip
+	listBuffer   []choice.Listed           // reused for each list
 }
 
-// link is the connections between a gateway and a server.
+// connPool holds a gateway's unused connections to one server.
 type connPool struct {
-	idleSince  []time.Duration // since when, the one used last comes last
-	generation int             // of the server
+	idleSince  []time.Duration // one for each connection, the most recently used last
+	generation int             // of the server to which they were opened
 }
 
-// trial is an op at a gateway.
+// gatewayOp is one try of a request at a gateway, which sees each try as an op of its own.
 type gatewayOp struct {
 	gateway        *gateway
 	id             uint32
 	request        *request
 	isRetry        bool
-	tryNumber      int
-	sentAt         time.Duration // by the client
-	clientLeavesAt time.Duration // when its client leaves
-	minPosition    time.Duration // the position that a session's read must see
+	tryNumber      int           // of the request, from 0
+	sentAt         time.Duration // when the client sent it
+	clientLeavesAt time.Duration // when the client stops waiting
+	minPosition    time.Duration // that a session's read must see
 	acceptedAt     time.Duration
 	openAttempt    *attempt
 	sendCount      int
 	done           bool
-	record         opRecord // the checker's notes
+	record         opRecord // kept by the checker
 }
 
-// attempt is one send.
+// attempt is one send of an op to a server.
 type attempt struct {
 	op               *gatewayOp
 	request          *request
 	opType           *opType
-	number           int
+	number           int // of the send, from 0
 	server           *server
-	serverGeneration int // of the server when it was sent
-	work             float64
-	minPosition      time.Duration // the oldest position that may answer it
+	serverGeneration int           // of the server when the attempt was last sent or written
+	work             float64       // nanoseconds of a core of speed 1
+	minPosition      time.Duration // oldest position of data that may answer it
 	sentAt           time.Duration
-	ended            bool // its result has been told, or is on its way
-	dropped          bool // called back while it waited
-	running          bool
-	holdsApply       bool
+	ended            bool // its result has been delivered or is being delivered
+	dropped          bool // cancelled before a core was free
+	running          bool // a server has begun to work on it
+	holdsApply       bool // it keeps the replica from applying the log
 	connected        bool
 	written          bool
-	committedAt      time.Duration // of a write: when
-	token            *token
-	dataPosition     time.Duration // position of the server when the work began
+	committedAt      time.Duration // of a write: when it took effect
+	token            *token        // of a tokened write
+	dataPosition     time.Duration // of the server when the work began
 }
 
 func (g *gateway) isUp() bool { return !g.down }
 
+// localTime returns the time by the gateway's own clock.
 func (g *gateway) localTime() time.Duration { return g.sim.now - g.clockBase }
 
-// do does something at the gateway, later if it is paused, never if it has ended meanwhile.
-func (g *gateway) runIfAlive(life int, f func()) {
+// runIfAlive calls f at the gateway: at once, after the pause if it is paused, or never if it has ended since the
+// given generation.
+func (g *gateway) runIfAlive(generation int, f func()) {
 	switch {
-	case g.generation != life || g.down:
+	case g.generation != generation || g.down:
 	case g.sim.now < g.pausedUntil:
-		g.deferred = append(g.deferred, func() { g.runIfAlive(life, f) })
+		g.deferred = append(g.deferred, func() { g.runIfAlive(generation, f) })
 	default:
 		f()
 	}
 }
 
-// then plans something at the gateway.
+// schedule calls f at the gateway after a time, unless the gateway has ended by then.
 func (g *gateway) schedule(after time.Duration, f func()) {
-	life := g.generation
-	g.sim.after(after, func() { g.runIfAlive(life, f) })
+	generation := g.generation
+	g.sim.after(after, func() { g.runIfAlive(generation, f) })
 }
 
-// pause stops the process; it goes on with all that came in the meantime.
-func (g *gateway) pause(span time.Duration) {
-	g.pausedUntil = max(g.pausedUntil, g.sim.now+span)
-	life, until := g.generation, g.pausedUntil
-	g.sim.after(span, func() {
-		if g.generation != life || g.pausedUntil != until {
+// pause suspends the process for a time. Afterwards it handles everything that came in meanwhile.
+func (g *gateway) pause(duration time.Duration) {
+	g.pausedUntil = max(g.pausedUntil, g.sim.now+duration)
+	generation, pausedUntil := g.generation, g.pausedUntil
+	g.sim.after(duration, func() {
+		if g.generation != generation || g.pausedUntil != pausedUntil {
 			return
 		}
-		late := g.deferred
+		deferred := g.deferred
 		g.deferred = nil
-		for _, f := range late {
+		for _, f := range deferred {
 			f()
 		}
 	})
 }
 
-// start begins another run of the gateway.
+// start restarts the gateway after a crash.
 func (g *gateway) start() {
 	g.boot()
 	g.clockBase = g.sim.now
 	g.startServing()
 }
 
-// boot begins a run's life, as far as others see it.
+// boot begins a new generation of the gateway, with its gossip node. It does not accept ops before startServing.
 func (g *gateway) boot() {
 	g.generation++
 	g.down, g.clockBase, g.pausedUntil, g.deferred = false, -time.Duration(draw(g.sim.seed, 0xba5e, uint64(g.index))*float64(time.Hour)), 0, nil
@@ -140,98 +145,101 @@
 	}
 }
 
-// opens takes ops from now on. It holds nothing but the list that the platform keeps.
+// startServing begins to accept ops. The gateway has no state but the server list that the platform has cached.
 func (g *gateway) startServing() {
 	g.ops, g.lastOpID, g.pools, g.watchesList, g.lastListAt = map[uint32]*gatewayOp{}, 0, nil, !g.sim.world.List.Asked, g.sim.now
 	g.knownStarts, g.replicaSince = map[*server]time.Duration{}, map[*server]time.Duration{}
 	g.policy = g.sim.newPolicy(g)
-	var there []*listEntry
+	var listed []*listEntry
 	for _, e := range g.sim.discovery.ordered {
 		if e.state != choice.Gone {
-			there = append(there, e)
+			listed = append(listed, e)
 		}
 	}
-	g.deliverList(choice.ListCached, g.sim.discovery.snapshot(there))
+	g.deliverList(choice.ListCached, g.sim.discovery.snapshot(listed))
 }
 
-// crash ends the run; what it held is its clients' to ask for again.
+// crash ends the process. The clients of its open ops may retry them.
 func (g *gateway) crash() {
 	if g.down {
 		return
 	}
 	g.down, g.downAt = true, g.sim.now
 	g.generation++
-	for i, l := range g.pools {
-		if s := g.sim.servers[i]; l != nil && l.generation == s.generation {
-			s.openConnections -= len(l.idleSince)
+	for i, pool := range g.pools {
+		if s := g.sim.servers[i]; pool != nil && pool.generation == s.generation {
+			s.openConnections -= len(pool.idleSince)
 		}
 	}
-	for _, t := range g.opsByID() {
-		if a := t.openAttempt; a != nil {
+	for _, op := range g.opsByID() {
+		if a := op.openAttempt; a != nil {
 			g.abandon(a)
 		}
 	}
 	open := g.ops
 	g.ops = map[uint32]*gatewayOp{}
 	for id := uint32(1); id <= g.lastOpID; id++ {
-		if t := open[id]; t != nil && !t.done {
-			t.done = true
-			g.sim.clients.gatewayLost(t)
+		if op := open[id]; op != nil && !op.done {
+			op.done = true
+			g.sim.clients.gatewayLost(op)
 		}
 	}
 }
 
-// take hands an op to the decider.
-func (g *gateway) accept(req *request, tryNo int, sentAt, due time.Duration, mark, wroteAgo time.Duration) *gatewayOp {
+// accept hands an op to the policy. minPosition is the position that a session's read must see, writeAge the age of
+// that position.
+func (g *gateway) accept(req *request, tryNumber int, sentAt, clientLeavesAt time.Duration,
+	minPosition, writeAge time.Duration) *gatewayOp {
 	g.lastOpID++
-	t := &gatewayOp{gateway: g, id: g.lastOpID, request: req, tryNumber: tryNo, isRetry: tryNo > 0 && g.sim.world.Clients.Marks, sentAt: sentAt, clientLeavesAt: due, minPosition: mark,
-		acceptedAt: g.sim.now}
-	g.ops[t.id] = t
-	g.sim.checker.opAccepted(t)
-	g.sim.after(due-g.sim.now, func() { g.timeOut(t) })
-	g.policy.Op(g.localTime(), t.id, uint8(req.opType.index), req.session, due-g.clockBase, uint16(req.group.index), wroteAgo, t.isRetry)
-	return t
-}
-
-// timeOut ends the send that is out when the client leaves, as the time limit of its connection does.
-func (g *gateway) timeOut(t *gatewayOp) {
-	if t.done || g.ops[t.id] != t {
+	op := &gatewayOp{gateway: g, id: g.lastOpID, request: req, tryNumber: tryNumber,
+		isRetry: tryNumber > 0 && g.sim.world.Clients.Marks, sentAt: sentAt, clientLeavesAt: clientLeavesAt,
+		minPosition: minPosition, acceptedAt: g.sim.now}
+	g.ops[op.id] = op
+	g.sim.checker.opAccepted(op)
+	g.sim.after(clientLeavesAt-g.sim.now, func() { g.timeOut(op) })
+	g.policy.Op(g.localTime(), op.id, uint8(req.opType.index), req.session, clientLeavesAt-g.clockBase, uint16(req.group.index), writeAge, op.isRetry)
+	return op
+}
+
+// timeOut ends the open send when the client stops waiting, as a time limit on the connection would.
+func (g *gateway) timeOut(op *gatewayOp) {
+	if op.done || g.ops[op.id] != op {
 		return
 	}
-	if a := t.openAttempt; a != nil {
+	if a := op.openAttempt; a != nil {
 		g.abandon(a)
 		g.runIfAlive(g.generation, func() { g.deliverResult(a, choice.TimedOut, choice.RoleUnknown, choice.LongPast) })
 	}
 }
 
-// Send implements choice.Host, as do the methods below.
-func (g *gateway) Send(op, server uint32, _ time.Duration) {
-	t := g.ops[op]
+// Send implements choice.Host, as do the exported methods below.
+func (g *gateway) Send(opID, server uint32, _ time.Duration) {
+	op := g.ops[opID]
 	s := g.sim.servers[server-1]
-	g.sim.checker.sendStarted(g, t, op, s)
-	if t == nil {
+	g.sim.checker.sendStarted(g, op, opID, s)
+	if op == nil {
 		return
 	}
-	a := &attempt{op: t, request: t.request, opType: t.request.opType, number: t.sendCount, server: s, serverGeneration: s.generation, sentAt: g.sim.now}
-	a.work = t.request.work * lognormal(draw(g.sim.seed, 0xa77e, t.request.id, uint64(t.tryNumber), uint64(t.sendCount)), t.request.opType.Noise)
+	a := &attempt{op: op, request: op.request, opType: op.request.opType, number: op.sendCount, server: s, serverGeneration: s.generation, sentAt: g.sim.now}
+	a.work = op.request.work * lognormal(draw(g.sim.seed, 0xa77e, op.request.id, uint64(op.tryNumber), uint64(op.sendCount)), op.request.opType.Noise)
 	a.minPosition = choice.LongPast
 	switch a.opType.need {
 	case choice.Session:
-		a.minPosition = t.minPosition
+		a.minPosition = op.minPosition
 	case choice.Bounded:
 		a.minPosition = g.sim.now - a.opType.Bound
 	case choice.Fresh:
-		a.minPosition = t.sentAt
+		a.minPosition = op.sentAt
 	}
-	t.sendCount++
-	t.openAttempt = a
+	op.sendCount++
+	op.openAttempt = a
 	s.openAttempts++
 	g.sim.result.Sends++
-	g.sim.traceOp(t, "send %d to server %d", a.number, s.id)
+	g.sim.traceOp(op, "send %d to server %d", a.number, s.id)
 	g.connect(a)
 }
 
-// link is what there is between the gateway and a server.
+// pool returns the pool of connections to a server.
 func (g *gateway) pool(s *server) *connPool {
 	i := int(s.id) - 1
 	for len(g.pools) <= i {
@@ -243,51 +251,51 @@
 	return g.pools[i]
 }
 
-// connect finds a connection, or makes one, and carries the attempt over it.
+// connect takes a connection from the pool or opens one, and sends the attempt over it.
 func (g *gateway) connect(a *attempt) {
-	s, w := a.server, g.sim
-	c := &w.world.Servers
-	l := g.pool(s)
-	if l.generation != s.generation { // what there was has been reset
-		l.idleSince, l.generation = nil, s.generation
-	}
-	for len(l.idleSince) > 0 && c.Idle > 0 && l.idleSince[0] < w.now-c.Idle/2 {
-		l.idleSince = l.idleSince[1:]
+	s, sim := a.server, g.sim
+	settings := &sim.world.Servers
+	pool := g.pool(s)
+	if pool.generation != s.generation { // the earlier connections have been reset
+		pool.idleSince, pool.generation = nil, s.generation
+	}
+	for len(pool.idleSince) > 0 && settings.Idle > 0 && pool.idleSince[0] < sim.now-settings.Idle/2 {
+		pool.idleSince = pool.idleSince[1:]
 		s.openConnections--
 	}
-	if n := len(l.idleSince); n > 0 {
-		l.idleSince = l.idleSince[:n-1]
+	if n := len(pool.idleSince); n > 0 {
+		pool.idleSince = pool.idleSince[:n-1]
 		a.connected = true
 		g.write(a)
 		return
 	}
-	limit := c.Conns
+	limit := settings.Conns
 	if s.connectionLimit > 0 {
 		limit = s.connectionLimit
 	}
 	fail := func(after time.Duration) {
-		w.after(after, func() { g.endAttempt(a, choice.NoConnection, choice.RoleUnknown, choice.LongPast) })
+		sim.after(after, func() { g.endAttempt(a, choice.NoConnection, choice.RoleUnknown, choice.LongPast) })
 	}
-	way := w.delay(g.zone, s.zone)
+	delay := sim.delay(g.zone, s.zone)
 	switch {
-	case !w.reaches(g, s, true) || !w.reaches(g, s, false) || s.state == serverVanished || s.hung:
-		fail(c.ConnectFor)
+	case !sim.reaches(g, s, true) || !sim.reaches(g, s, false) || s.state == serverVanished || s.hung:
+		fail(settings.ConnectFor)
 	case !s.isUp() || limit > 0 && s.openConnections >= limit:
-		fail(2 * way)
+		fail(2 * delay)
 	default:
 		s.openConnections++
-		life := s.generation
-		took := 2*way*time.Duration(max(1, c.RoundTrips)) + time.Duration(float64(c.Handshake)/s.currentSpeed())
-		if took > c.ConnectFor {
+		generation := s.generation
+		took := 2*delay*time.Duration(max(1, settings.RoundTrips)) + time.Duration(float64(settings.Handshake)/s.currentSpeed())
+		if took > settings.ConnectFor {
 			s.openConnections--
-			fail(c.ConnectFor)
+			fail(settings.ConnectFor)
 			return
 		}
-		w.after(took, func() {
+		sim.after(took, func() {
 			switch {
-			case s.generation != life:
+			case s.generation != generation:
 				g.endAttempt(a, choice.NoConnection, choice.RoleUnknown, choice.LongPast)
-			case a.ended: // called back in the meantime
+			case a.ended: // abandoned in the meantime
 				s.openConnections--
 			default:
 				a.connected = true
@@ -300,28 +308,29 @@
 // write sends the attempt over its connection.
 func (g *gateway) write(a *attempt) {
 	a.written = true
-	life, s := a.server.generation, a.server
-	a.serverGeneration = life
+	generation, s := a.server.generation, a.server
+	a.serverGeneration = generation
 	if !g.sim.reaches(g, s, true) {
-		return // until its time is up, or the way is back and the connection turns out broken
+		return // the attempt ends by its timeout, or by a reset when the connection turns out to be broken
 	}
 	g.sim.after(g.sim.delay(g.zone, s.zone), func() {
-		if s.generation == life && s.isUp() {
+		if s.generation == generation && s.isUp() {
 			s.arrive(a)
 		}
 	})
 }
 
-// answer brings a server's answer back.
-func (r *simulation) returnAnswer(a *attempt, result choice.Result, role choice.Role, pos time.Duration) {
+// returnAnswer sends a server's answer back to the gateway.
+func (sim *simulation) returnAnswer(a *attempt, result choice.Result, role choice.Role, pos time.Duration) {
 	g := a.op.gateway
-	if !r.reaches(g, a.server, false) {
+	if !sim.reaches(g, a.server, false) {
 		return
 	}
-	r.after(r.delay(g.zone, a.server.zone), func() { g.endAttempt(a, result, role, pos) }) // what is on its way arrives even if the server ends
+	// An answer under way arrives even if the server ends.
+	sim.after(sim.delay(g.zone, a.server.zone), func() { g.endAttempt(a, result, role, pos) })
 }
 
-// ends gives an attempt its one result.
+// endAttempt gives an attempt its result, unless it has one.
 func (g *gateway) endAttempt(a *attempt, result choice.Result, role choice.Role, pos time.Duration) {
 	if a.ended {
 		return
@@ -329,25 +338,25 @@
 	a.ended = true
 	a.server.openAttempts--
 	if a.connected && a.server.generation == a.serverGeneration && !g.down {
-		l := g.pool(a.server)
-		if l.generation == a.serverGeneration {
-			l.idleSince = append(l.idleSince, g.sim.now)
+		pool := g.pool(a.server)
+		if pool.generation == a.serverGeneration {
+			pool.idleSince = append(pool.idleSince, g.sim.now)
 		}
 	}
-	t := a.op
-	life := t.generation()
-	g.runIfAlive(life, func() { g.deliverResult(a, result, role, pos) })
+	op := a.op
+	generation := op.generation()
+	g.runIfAlive(generation, func() { g.deliverResult(a, result, role, pos) })
 }
 
-// life is that of the gateway at which the trial runs, or none if that has ended since.
-func (t *gatewayOp) generation() int {
-	if t.gateway.ops[t.id] != t {
+// generation returns the generation of the gateway that holds the op, or -1 if no gateway holds it any more.
+func (op *gatewayOp) generation() int {
+	if op.gateway.ops[op.id] != op {
 		return -1
 	}
-	return t.gateway.generation
+	return op.gateway.generation
 }
 
-// closes gives an attempt up: its connection is closed, what it has begun goes on.
+// abandon closes the connection of an attempt without waiting for its result. Work that the server has begun goes on.
 func (g *gateway) abandon(a *attempt) {
 	if a.ended {
 		return
@@ -362,151 +371,151 @@
 	}
 }
 
-// told hands a result to the decider. The first ack ends the op.
+// deliverResult hands the result of an attempt to the policy. The first ack ends the op.
 func (g *gateway) deliverResult(a *attempt, result choice.Result, role choice.Role, pos time.Duration) {
-	t := a.op
-	if t.openAttempt == a {
-		t.openAttempt = nil
+	op := a.op
+	if op.openAttempt == a {
+		op.openAttempt = nil
 	}
 	took := g.sim.now - a.sentAt
-	g.sim.checker.sendEnded(t, a, result, role)
+	g.sim.checker.sendEnded(op, a, result, role)
 	g.noteRole(a.server, role)
 	g.sim.result.sendEnded(result)
-	g.sim.traceOp(t, "send %d ended: %s", a.number, resultNames[result])
+	g.sim.traceOp(op, "send %d ended: %s", a.number, resultNames[result])
 	if result == choice.Acked && took <= a.opType.Target && g.gossipNode != nil {
 		g.gossipNode.opAcked(a.server, a.sentAt)
 	}
-	if result == choice.Acked && !t.done {
-		t.done = true
-		g.sim.checker.checkFreshness(t, a)
-		g.sim.checker.finalAnswer(t, finalAcked)
-		g.sim.clients.acked(t, a)
+	if result == choice.Acked && !op.done {
+		op.done = true
+		g.sim.checker.checkFreshness(op, a)
+		g.sim.checker.finalAnswer(op, finalAcked)
+		g.sim.clients.acked(op, a)
 	}
-	if t.done {
-		delete(g.ops, t.id)
+	if op.done {
+		delete(g.ops, op.id)
 	}
 	if pos != choice.LongPast {
 		pos -= g.clockBase
 	}
-	g.policy.Answer(g.localTime(), t.id, uint8(a.number), a.server.id, result, took, t.done, role, pos)
+	g.policy.Answer(g.localTime(), op.id, uint8(a.number), a.server.id, result, took, op.done, role, pos)
 }
 
-// BusyReply is final.
-func (g *gateway) BusyReply(op uint32, comeBackIn time.Duration) {
-	if t := g.ops[op]; t != nil && !t.done {
-		t.done = true
-		if t.openAttempt == nil {
-			delete(g.ops, op)
+// BusyReply is a final answer.
+func (g *gateway) BusyReply(opID uint32, retryAfter time.Duration) {
+	if op := g.ops[opID]; op != nil && !op.done {
+		op.done = true
+		if op.openAttempt == nil {
+			delete(g.ops, opID)
 		}
-		g.sim.checker.finalAnswer(t, finalBusy)
-		g.sim.clients.busyReplied(t, comeBackIn)
+		g.sim.checker.finalAnswer(op, finalBusy)
+		g.sim.clients.busyReplied(op, retryAfter)
 	} else {
-		g.sim.checker.finalAnswer(t, finalBusy)
+		g.sim.checker.finalAnswer(op, finalBusy)
 	}
 }
 
-// Error is final.
-func (g *gateway) Error(op uint32) {
-	if t := g.ops[op]; t != nil && !t.done {
-		t.done = true
-		if t.openAttempt == nil {
-			delete(g.ops, op)
+// Error is a final answer.
+func (g *gateway) Error(opID uint32) {
+	if op := g.ops[opID]; op != nil && !op.done {
+		op.done = true
+		if op.openAttempt == nil {
+			delete(g.ops, opID)
 		}
-		g.sim.checker.finalAnswer(t, finalError)
-		g.sim.clients.errored(t)
+		g.sim.checker.finalAnswer(op, finalError)
+		g.sim.clients.errored(op)
 	} else {
-		g.sim.checker.finalAnswer(t, finalError)
+		g.sim.checker.finalAnswer(op, finalError)
 	}
 }
 
-// Cancel calls a send back.
-func (g *gateway) Cancel(op uint32, send uint8) {
-	t := g.ops[op]
-	if t == nil || t.openAttempt == nil || t.openAttempt.number != int(send) || t.openAttempt.ended {
+// Cancel cancels the open send.
+func (g *gateway) Cancel(opID uint32, send uint8) {
+	op := g.ops[opID]
+	if op == nil || op.openAttempt == nil || op.openAttempt.number != int(send) || op.openAttempt.ended {
 		return
 	}
-	a := t.openAttempt
+	a := op.openAttempt
 	g.abandon(a)
-	life := g.generation
+	generation := g.generation
 	g.sim.after(0, func() {
-		g.runIfAlive(life, func() { g.deliverResult(a, choice.Cancelled, choice.RoleUnknown, choice.LongPast) })
+		g.runIfAlive(generation, func() { g.deliverResult(a, choice.Cancelled, choice.RoleUnknown, choice.LongPast) })
 	})
 }
 
-// Withdraw implements choice.Host. Here a send counts from its decision, so there is nothing to take back.
+// Withdraw does nothing: every send begins when it is decided, so there is none to take back.
 func (g *gateway) Withdraw(uint32) {}
 
-// Probe asks a server how it is.
+// Probe probes a server.
 func (g *gateway) Probe(server uint32) {
-	w, s := g.sim, g.sim.servers[server-1]
-	w.result.Probes++
-	p := &w.world.Reports
-	began := w.now
-	tell := func(result choice.Result, role choice.Role, pos time.Duration) {
+	sim, s := g.sim, g.sim.servers[server-1]
+	sim.result.Probes++
+	reports := &sim.world.Reports
+	startedAt := sim.now
+	deliver := func(result choice.Result, role choice.Role, pos time.Duration) {
 		g.runIfAlive(g.generation, func() {
-			if role != choice.RoleUnknown && p.Probes {
+			if role != choice.RoleUnknown && reports.Probes {
 				g.noteRole(s, role)
 				g.policy.Report(g.localTime(), server, role, pos-g.clockBase)
 			}
-			g.policy.ProbeAnswer(g.localTime(), server, result, w.now-began)
+			g.policy.ProbeAnswer(g.localTime(), server, result, sim.now-startedAt)
 		})
 	}
-	life, slife := g.generation, s.generation
-	lost := func(after time.Duration, result choice.Result) {
-		w.after(after, func() {
-			if g.generation == life {
-				tell(result, choice.RoleUnknown, 0)
+	generation, serverGeneration := g.generation, s.generation
+	fail := func(after time.Duration, result choice.Result) {
+		sim.after(after, func() {
+			if g.generation == generation {
+				deliver(result, choice.RoleUnknown, 0)
 			}
 		})
 	}
-	way := w.delay(g.zone, s.zone)
+	delay := sim.delay(g.zone, s.zone)
 	switch {
-	case !w.reaches(g, s, true) || !w.reaches(g, s, false) || s.state == serverVanished || s.hung && !p.OnHung:
-		lost(p.Timeout, choice.TimedOut)
+	case !sim.reaches(g, s, true) || !sim.reaches(g, s, false) || s.state == serverVanished || s.hung && !reports.OnHung:
+		fail(reports.Timeout, choice.TimedOut)
 	case !s.isUp():
-		lost(2*way, choice.NoConnection)
-	case s.probeErrorShare > 0 && draw(w.seed, 0xbad, uint64(server), uint64(g.index), uint64(w.now)) < s.probeErrorShare:
-		lost(2*way, choice.ServerError)
+		fail(2*delay, choice.NoConnection)
+	case s.probeErrorShare > 0 && draw(sim.seed, 0xbad, uint64(server), uint64(g.index), uint64(sim.now)) < s.probeErrorShare:
+		fail(2*delay, choice.ServerError)
 	default:
-		w.after(2*way+time.Duration(float64(p.Work)/s.currentSpeed()), func() {
-			if g.generation != life {
+		sim.after(2*delay+time.Duration(float64(reports.Work)/s.currentSpeed()), func() {
+			if g.generation != generation {
 				return
 			}
-			if s.generation != slife {
-				tell(choice.Reset, choice.RoleUnknown, 0)
+			if s.generation != serverGeneration {
+				deliver(choice.Reset, choice.RoleUnknown, 0)
 				return
 			}
-			old := time.Duration(draw(w.seed, 0x01d, uint64(server), uint64(w.now)) * float64(p.Refresh))
-			tell(choice.Acked, s.role(), s.reportedPosition()-old)
+			age := time.Duration(draw(sim.seed, 0x01d, uint64(server), uint64(sim.now)) * float64(reports.Refresh))
+			deliver(choice.Acked, s.role(), s.reportedPosition()-age)
 		})
 	}
 }
 
-// Timer calls the decider at a time of its clock.
+// Timer calls the policy at a time of the gateway's clock.
 func (g *gateway) Timer(id uint32, at time.Duration) {
-	life := g.generation
+	generation := g.generation
 	g.sim.at(at+g.clockBase, func() {
-		g.runIfAlive(life, func() { g.policy.Timer(g.localTime(), id) })
+		g.runIfAlive(generation, func() { g.policy.Timer(g.localTime(), id) })
 	})
 }
 
-// AskList asks once.
+// AskList requests the server list once.
 func (g *gateway) AskList() { g.sim.discovery.requestList(g, false) }
 
-// WatchList asks for all and then for changes.
+// WatchList requests the server list and then its changes.
 func (g *gateway) WatchList() { g.sim.discovery.requestList(g, true) }
 
-// CloseIdle closes connections that are not in use.
+// CloseIdle closes the unused connections to a server.
 func (g *gateway) CloseIdle(server uint32) {
 	s := g.sim.servers[server-1]
-	l := g.pool(s)
-	if l.generation == s.generation {
-		s.openConnections -= len(l.idleSince)
+	pool := g.pool(s)
+	if pool.generation == s.generation {
+		s.openConnections -= len(pool.idleSince)
 	}
-	l.idleSince = nil
+	pool.idleSince = nil
 }
 
-// Forget drops what is kept of a server.
+// Forget closes the unused connections to a server and withdraws the rumour about it.
 func (g *gateway) Forget(server uint32) {
 	g.CloseIdle(server)
 	if g.gossipNode != nil {
@@ -514,7 +523,7 @@
 	}
 }
 
-// Trouble tells the gossip what the gateway has seen by itself.
+// Trouble reports to the gossip node what the gateway has seen itself.
 func (g *gateway) Trouble(server uint32, t choice.Trouble) {
 	g.sim.result.Troubles[t]++
 	if g.gossipNode != nil {
@@ -522,25 +531,25 @@
 	}
 }
 
-// Log notes what the module says.
+// Log counts a line that the policy logs.
 func (g *gateway) Log(line string) { g.sim.result.Logs[line]++ }
 
-// listed hands a list to the decider.
-func (g *gateway) deliverList(scope choice.ListScope, lines []listEntry) {
+// deliverList hands the server list, or its changes, to the policy.
+func (g *gateway) deliverList(scope choice.ListScope, entries []listEntry) {
 	g.runIfAlive(g.generation, func() {
 		g.lastListAt = g.sim.now
 		g.listBuffer = g.listBuffer[:0]
-		for _, e := range lines {
-			l := choice.Listed{ID: e.server.id, Group: uint16(e.server.group.index), Zone: uint8(e.server.zone), Kind: e.server.kind, Primary: e.primary,
+		for _, e := range entries {
+			listed := choice.Listed{ID: e.server.id, Group: uint16(e.server.group.index), Zone: uint8(e.server.zone), Kind: e.server.kind, Primary: e.primary,
 				State: e.state, Started: choice.LongPast, Weight: float32(e.server.cores)}
 			if e.startedAt > longAgo {
-				l.Started = e.startedAt - g.clockBase
+				listed.Started = e.startedAt - g.clockBase
 				g.knownStarts[e.server] = e.startedAt
 			}
-			g.listBuffer = append(g.listBuffer, l)
+			g.listBuffer = append(g.listBuffer, listed)
 		}
 		if scope != choice.ListFailed {
-			g.sim.checker.listDelivered(g, scope, lines)
+			g.sim.checker.listDelivered(g, scope, entries)
 		}
 		g.policy.List(g.localTime(), scope, g.listBuffer)
 		if g.gossipNode != nil && scope != choice.ListFailed {
@@ -549,15 +558,16 @@
 	})
 }
 
-// knowsStart tells whether the gateway has been told of a server's newest start, or is deemed to have been.
+// knowsStart reports whether the gateway has learned of a server's latest start, or counts as knowing it.
 func (g *gateway) knowsStart(s *server) bool {
 	return g.knownStarts[s] == s.startedAt || !g.watchesList && g.sim.now-g.lastListAt > g.sim.world.List.Within
 }
 
-// broken ends what is under way between a server and all gateways: reset, or silent.
-func (r *simulation) breakConnections(s *server, reset bool) {
+// breakConnections ends all connections between a server and the gateways. With reset, open attempts end as Reset;
+// without, the gateways notice nothing and open attempts stay open until they time out.
+func (sim *simulation) breakConnections(s *server, reset bool) {
 	s.openConnections = 0
-	for _, g := range r.gateways {
+	for _, g := range sim.gateways {
 		if int(s.id) > len(g.pools) || g.pools[s.id-1] == nil {
 			continue
 		}
@@ -565,15 +575,15 @@
 		if !reset || !g.isUp() {
 			continue
 		}
-		for _, t := range g.opsByID() {
-			if a := t.openAttempt; a != nil && a.server == s && a.written && !a.ended {
-				r.after(r.delay(g.zone, s.zone), func() { g.endAttempt(a, choice.Reset, choice.RoleUnknown, choice.LongPast) })
+		for _, op := range g.opsByID() {
+			if a := op.openAttempt; a != nil && a.server == s && a.written && !a.ended {
+				sim.after(sim.delay(g.zone, s.zone), func() { g.endAttempt(a, choice.Reset, choice.RoleUnknown, choice.LongPast) })
 			}
 		}
 	}
 }
 
-// says notes what a server has told of its role.
+// noteRole records the role that a server has told.
 func (g *gateway) noteRole(s *server, role choice.Role) {
 	switch {
 	case role == choice.Primary:
@@ -583,17 +593,17 @@
 	}
 }
 
-// saidReplica tells whether the gateway knew at a time that a server is no primary.
+// knewReplica reports whether the gateway knew at a time that a server is a replica.
 func (g *gateway) knewReplica(s *server, at time.Duration) bool {
 	since, ok := g.replicaSince[s]
 	return ok && since < at
 }
 
-// ordered lists the trials by their ids, as a map's own order would differ from run to run.
+// opsByID returns the open ops sorted by id, because the order of a map differs from run to run.
 func (g *gateway) opsByID() []*gatewayOp {
 	all := make([]*gatewayOp, 0, len(g.ops))
-	for _, t := range g.ops {
-		all = append(all, t)
+	for _, op := range g.ops {
+		all = append(all, op)
 	}
 	sortOpsByID(all)
 	return all
--- a/internal/emulator/gossips.go
+++ b/internal/emulator/gossips.go
@@ -39,8 +39,8 @@
 	liar               *liar
 }
 
-func newGossipNetwork(r *simulation) *gossipNetwork {
-	return &gossipNetwork{sim: r, rng: rand.New(rand.NewPCG(r.seed, 4)), instances: make([]*instance, r.world.Gateways.Count)}
+func newGossipNetwork(sim *simulation) *gossipNetwork {
+	return &gossipNetwork{sim: sim, rng: rand.New(rand.NewPCG(sim.seed, 4)), instances: make([]*instance, sim.world.Gateways.Count)}
 }
 
 func address(i int) netip.AddrPort {
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -12,25 +12,25 @@
 	sim           *simulation
 	index         int
 	members       []*server
-	primary       *server // or nil while there is none
-	primaryLostAt time.Duration
-	commits       []time.Duration // the newest, for those that come back
+	primary       *server         // nil while there is none
+	primaryLostAt time.Duration   // when the last primary was lost
+	commits       []time.Duration // times of the newest, for members that come back
 	electing      bool
-	term          int               // counts primaries
-	tokens        map[uint64]*token // of tokened ops
-	tokensSweptAt time.Duration
+	term          int               // increases when a primary takes over, or returns before it was given up
+	tokens        map[uint64]*token // by request id
+	tokensSweptAt time.Duration     // when tokens out of date were last dropped
 }
 
-// token is what a group remembers of a tokened op: repeats that come in within its window are known as such, and of all
-// that are known to belong together one has an effect.
+// token is what a group remembers of a tokened op. Sends that arrive within the window of an earlier one, or while one
+// is pending, are recognized as repeats, and only one of them takes effect.
 type token struct {
-	lastSeenAt time.Duration // when it last came in
-	pending    int           // sends of it that have come in and are not done
+	lastSeenAt time.Duration // when a send of the op last arrived
+	pending    int           // sends of the op that have arrived and have not finished
 	done       bool
-	doneAt     time.Duration // of its effect
+	doneAt     time.Duration // when it took effect
 }
 
-// comes notes that a tokened op has come in.
+// noteTokenedSend records the arrival of a tokened write, and drops the tokens that are out of date.
 func (g *group) noteTokenedSend(a *attempt) {
 	if a.opType.config.Effect != choice.Tokened || a.opType.need != choice.Write {
 		return
@@ -38,57 +38,58 @@
 	now, window := g.sim.now, a.opType.Window
 	if now-g.tokensSweptAt > 4*window {
 		g.tokensSweptAt = now
-		for id, k := range g.tokens {
-			if k.pending <= 0 && now-k.lastSeenAt > 2*window {
+		for id, t := range g.tokens {
+			if t.pending <= 0 && now-t.lastSeenAt > 2*window {
 				delete(g.tokens, id)
 			}
 		}
 	}
-	k := g.tokens[a.request.id]
-	if k == nil || k.pending <= 0 && now-k.lastSeenAt > window {
-		k = &token{}
-		g.tokens[a.request.id] = k
+	t := g.tokens[a.request.id]
+	if t == nil || t.pending <= 0 && now-t.lastSeenAt > window {
+		t = &token{}
+		g.tokens[a.request.id] = t
 	}
-	k.lastSeenAt = now
-	k.pending++
-	a.token = k
+	t.lastSeenAt = now
+	t.pending++
+	a.token = t
 }
 
-// fresh tells whether a write is to have its effect, and when that was or is.
+// takesEffect reports whether a write takes effect now, and sets the time at which it does or an earlier repeat did.
 func (g *group) takesEffect(now time.Duration, a *attempt) bool {
 	a.committedAt = now
-	k := a.token
-	if k == nil {
+	t := a.token
+	if t == nil {
 		return true
 	}
-	k.pending--
-	if k.done {
-		a.committedAt = k.doneAt
+	t.pending--
+	if t.done {
+		a.committedAt = t.doneAt
 		return false
 	}
-	k.done, k.doneAt = true, now
+	t.done, t.doneAt = true, now
 	return true
 }
 
-// lost is called when a member is dead, hung or cut off. A primary is given up after a while, and another takes over.
+// memberLost is called when a member has crashed, hangs or is cut off. If it is the primary and has not recovered
+// within Failover.Detect, another one is elected.
 func (g *group) memberLost(s *server) {
 	if g.primary != s {
 		return
 	}
 	g.primaryLostAt = g.sim.now
 	term := g.term
-	f := &g.sim.world.Failover
-	g.sim.after(f.Detect, func() {
+	failover := &g.sim.world.Failover
+	g.sim.after(failover.Detect, func() {
 		if g.term != term || s.isUp() && !s.hung && g.primary == s {
 			return
 		}
 		s.appliedTo = max(s.appliedTo, g.primaryLostAt)
 		g.primary = nil
-		g.elect(f.Elect)
+		g.elect(failover.Elect)
 	})
 }
 
-// handover moves the role away from a primary that drains.
+// handOver moves the role of primary away from a server that drains.
 func (g *group) handOver(s *server) {
 	if g.primary != s {
 		return
@@ -99,7 +100,8 @@
 	g.elect(g.sim.world.Failover.Hand)
 }
 
-// elect makes the member that is furthest a primary, after a time.
+// elect promotes the member with the newest position after a time. It tries again every Failover.Elect while no member
+// can take the role.
 func (g *group) elect(after time.Duration) {
 	if g.electing {
 		return
@@ -124,10 +126,11 @@
 	})
 }
 
+// promote makes a server the primary.
 func (g *group) promote(s *server) {
 	g.term++
 	g.primary = s
-	// What was shipped to it is applied before it takes the role; what was not is lost with the old primary.
+	// What has been shipped to it is applied before it takes the role. What has not is lost with the old primary.
 	s.backlog, s.applying, s.appliedTo = nil, false, g.sim.now
 	g.sim.recordEvent("server %d is primary of group %d", s.id, g.index)
 	g.sim.checker.promoted(s)
@@ -138,9 +141,9 @@
 	g.sim.discovery.serverChanged(s)
 }
 
-// rejoin brings a member back as a replica that stands where it stood.
+// rejoin brings a member back as a replica, which continues from the position that it had.
 func (g *group) rejoin(s *server) {
-	if g.primary == s { // it returned before it was given up
+	if g.primary == s { // it has returned before it was given up
 		g.term++
 		g.primary = nil
 		g.elect(g.sim.world.Failover.Elect)
@@ -150,7 +153,7 @@
 	s.apply()
 }
 
-// replace puts a new server, under a new id, into the place of one that leaves.
+// replace adds a new server under a new id in place of one that leaves.
 func (g *group) replace(old *server) *server {
 	s := g.sim.addServer(g, old.zone, old.kind)
 	s.startedAt = g.sim.now
@@ -160,55 +163,55 @@
 	return s
 }
 
-// line is a server's line in the list, as the list service knows it now.
+// listEntry is a server's entry in the list, as discovery knows it.
 type listEntry struct {
 	server    *server
 	state     choice.State
-	primary   bool
+	primary   bool // always false unless the list tells roles
 	startedAt time.Duration
 }
 
-// lists is the service that tells gateways of servers, late.
+// discoveryService tells the gateways of servers, with delays.
 type discoveryService struct {
 	sim         *simulation
 	entries     map[*server]*listEntry
-	ordered     []*listEntry
-	down        bool // does not answer
-	frozen      bool // answers what it knew
-	falseStates map[*server]choice.State
-	busyUntil   time.Duration
+	ordered     []*listEntry             // the same in order of arrival
+	down        bool                     // answers no request
+	frozen      bool                     // does not update the list
+	falseStates map[*server]choice.State // told instead of the true states
+	busyUntil   time.Duration            // with the requests that it has received
 }
 
-// changed notices, late, what has become of a server.
-func (l *discoveryService) serverChanged(s *server) {
-	c := &l.sim.world.List
-	late := c.Added
+// serverChanged updates the entry of a server with the delay that discovery takes to notice the change.
+func (d *discoveryService) serverChanged(s *server) {
+	list := &d.sim.world.List
+	delay := list.Added
 	switch {
 	case s.state == serverVanished:
-		late = c.Vanished
+		delay = list.Vanished
 	case !s.isUp():
-		late = c.Down
+		delay = list.Down
 	case s.draining:
-		late = c.Added
+		delay = list.Added
 	}
-	life, draining := s.generation, s.draining
-	l.sim.after(late, func() {
-		if s.generation == life && s.draining == draining {
-			l.update(s)
+	generation, draining := s.generation, s.draining
+	d.sim.after(delay, func() {
+		if s.generation == generation && s.draining == draining {
+			d.update(s)
 		}
 	})
 }
 
-// note takes a server's present state into the list and tells those who watch.
-func (l *discoveryService) update(s *server) {
-	if l.frozen {
+// update takes a server's present state into the list and pushes it to those who watch.
+func (d *discoveryService) update(s *server) {
+	if d.frozen {
 		return
 	}
-	e := l.entries[s]
+	e := d.entries[s]
 	if e == nil {
 		e = &listEntry{server: s}
-		l.entries[s] = e
-		l.ordered = append(l.ordered, e)
+		d.entries[s] = e
+		d.ordered = append(d.ordered, e)
 	}
 	e.state, e.startedAt = choice.Ready, s.startedAt
 	switch {
@@ -217,127 +220,130 @@
 	case s.draining:
 		e.state = choice.Draining
 	}
-	if l.sim.world.List.Roles == "late" {
+	if d.sim.world.List.Roles == "late" {
 		e.primary = s.isPrimary()
 	}
-	l.push([]*listEntry{e})
+	d.push([]*listEntry{e})
 }
 
-// roles notes, where the list shows roles late, who is primary now.
-func (l *discoveryService) updateRoles() {
-	if l.sim.world.List.Roles != "late" || l.frozen {
+// updateRoles updates who is primary, if the list tells roles late.
+func (d *discoveryService) updateRoles() {
+	if d.sim.world.List.Roles != "late" || d.frozen {
 		return
 	}
 	var changes []*listEntry
-	for _, e := range l.ordered {
+	for _, e := range d.ordered {
 		if is := e.server.isPrimary(); is != e.primary {
 			e.primary = is
 			changes = append(changes, e)
 		}
 	}
-	l.push(changes)
+	d.push(changes)
 }
 
-func (l *discoveryService) push(changes []*listEntry) {
-	if l.down || len(changes) == 0 {
+// push sends changes to the gateways that watch, to each after a delay of its own up to List.Spread.
+func (d *discoveryService) push(changes []*listEntry) {
+	if d.down || len(changes) == 0 {
 		return
 	}
-	for _, g := range l.sim.gateways {
+	for _, g := range d.sim.gateways {
 		if g.watchesList && g.isUp() {
 			g := g
-			late := time.Duration(draw(l.sim.seed, 0x115, uint64(g.index), uint64(l.sim.now)) * float64(l.sim.world.List.Spread))
-			told := l.snapshot(changes)
-			life := g.generation
-			l.sim.after(late, func() {
-				if g.generation == life && g.watchesList && !l.down {
-					g.deliverList(choice.ListChanges, told)
+			delay := time.Duration(draw(d.sim.seed, 0x115, uint64(g.index), uint64(d.sim.now)) * float64(d.sim.world.List.Spread))
+			entries := d.snapshot(changes)
+			generation := g.generation
+			d.sim.after(delay, func() {
+				if g.generation == generation && g.watchesList && !d.down {
+					g.deliverList(choice.ListChanges, entries)
 				}
 			})
 		}
 	}
 }
 
-// copy is the lines as they are told now.
-func (l *discoveryService) snapshot(lines []*listEntry) []listEntry {
-	told := make([]listEntry, 0, len(lines))
-	for _, e := range lines {
-		t := *e
-		if state, ok := l.falseStates[e.server]; ok {
-			t.state = state
+// snapshot copies the entries as they are told now, false states included.
+func (d *discoveryService) snapshot(entries []*listEntry) []listEntry {
+	copies := make([]listEntry, 0, len(entries))
+	for _, e := range entries {
+		entry := *e
+		if state, ok := d.falseStates[e.server]; ok {
+			entry.state = state
 		}
-		told = append(told, t)
+		copies = append(copies, entry)
 	}
-	return told
+	return copies
 }
 
-// call answers a gateway's asking for the whole list. Calls are handled one after another.
-func (l *discoveryService) requestList(g *gateway, watch bool) {
-	life := g.generation
-	c := &l.sim.world.List
-	if l.down {
-		l.sim.after(c.Timeout/8, func() {
-			if g.generation == life {
+// requestList answers a request for the whole list. Requests are handled one after another, List.Call for each.
+func (d *discoveryService) requestList(g *gateway, watch bool) {
+	generation := g.generation
+	list := &d.sim.world.List
+	if d.down {
+		d.sim.after(list.Timeout/8, func() {
+			if g.generation == generation {
 				g.deliverList(choice.ListFailed, nil)
 			}
 		})
 		return
 	}
-	l.busyUntil = max(l.busyUntil, l.sim.now) + c.Call
-	if l.busyUntil-l.sim.now > c.Timeout {
-		l.busyUntil -= c.Call
-		l.sim.after(c.Timeout, func() {
-			if g.generation == life {
+	d.busyUntil = max(d.busyUntil, d.sim.now) + list.Call
+	if d.busyUntil-d.sim.now > list.Timeout {
+		d.busyUntil -= list.Call
+		d.sim.after(list.Timeout, func() {
+			if g.generation == generation {
 				g.deliverList(choice.ListFailed, nil)
 			}
 		})
 		return
 	}
-	l.sim.at(l.busyUntil+2*l.sim.world.Network.Within, func() {
+	d.sim.at(d.busyUntil+2*d.sim.world.Network.Within, func() {
 		switch {
-		case g.generation != life:
-		case l.down:
+		case g.generation != generation:
+		case d.down:
 			g.deliverList(choice.ListFailed, nil)
 		default:
 			g.watchesList = g.watchesList || watch
-			var there []*listEntry
-			for _, e := range l.ordered {
+			var listed []*listEntry
+			for _, e := range d.ordered {
 				if e.state != choice.Gone {
-					there = append(there, e)
+					listed = append(listed, e)
 				}
 			}
-			g.deliverList(choice.ListFull, l.snapshot(there))
+			g.deliverList(choice.ListFull, d.snapshot(listed))
 		}
 	})
 }
 
-// breaks ends all watches; who watched is told so.
-func (l *discoveryService) setDown(down bool) {
-	if l.down = down; down {
-		l.endWatches(func(*gateway) time.Duration { return l.sim.world.List.Timeout / 8 })
+// setDown starts or ends an outage. At its start all watches end, and the gateways notice.
+func (d *discoveryService) setDown(down bool) {
+	if d.down = down; down {
+		d.endWatches(func(*gateway) time.Duration { return d.sim.world.List.Timeout / 8 })
 	}
 }
 
-// A silent watch is given up between these times after it was opened, by chance.
+// A gateway gives up a silenced watch at a random time between these after the silence began.
 const (
 	minSilentWatch = 4 * time.Second
 	maxSilentWatch = 4600 * time.Millisecond
 )
 
-// silence has nobody hear of changes until it has given its watch up.
-func (l *discoveryService) silenceWatches() {
-	l.endWatches(func(g *gateway) time.Duration {
-		return minSilentWatch + time.Duration(draw(l.sim.seed, 0x511, uint64(g.index), uint64(l.sim.now))*float64(maxSilentWatch-minSilentWatch))
+// silenceWatches ends all watches without notice. Each gateway learns of it when it gives up its own.
+func (d *discoveryService) silenceWatches() {
+	d.endWatches(func(g *gateway) time.Duration {
+		return minSilentWatch +
+			time.Duration(draw(d.sim.seed, 0x511, uint64(g.index), uint64(d.sim.now))*float64(maxSilentWatch-minSilentWatch))
 	})
 }
 
-// unwatch ends all watches, of which each gateway learns after a time.
-func (l *discoveryService) endWatches(after func(g *gateway) time.Duration) {
-	for _, g := range l.sim.gateways {
-		if g.watchesList && g.isUp() && l.sim.world.List.Asked {
+// endWatches ends all watches that gateways requested. Each gateway learns of it after a time. A list that is pushed
+// has no such watches.
+func (d *discoveryService) endWatches(after func(g *gateway) time.Duration) {
+	for _, g := range d.sim.gateways {
+		if g.watchesList && g.isUp() && d.sim.world.List.Asked {
 			g.watchesList = false
-			life := g.generation
-			l.sim.after(after(g), func() {
-				if g.generation == life {
+			generation := g.generation
+			d.sim.after(after(g), func() {
+				if g.generation == generation {
 					g.deliverList(choice.ListFailed, nil)
 				}
 			})
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -8,17 +8,17 @@
 	"gorsewell/choice"
 )
 
-// Policies are the names by which an arm asks for one.
+// Policies lists the names of the policies that an Arm can choose.
 var Policies = []string{"module", "oracle", "primary", "turns", "least", "two"}
 
-// decide makes what decides in a gateway.
-func (r *simulation) newPolicy(g *gateway) policy {
-	if r.testPolicy != nil {
-		return r.testPolicy(g)
+// newPolicy returns the policy of the arm for a gateway.
+func (sim *simulation) newPolicy(g *gateway) policy {
+	if sim.testPolicy != nil {
+		return sim.testPolicy(g)
 	}
-	d := r.deployment(g)
+	d := sim.deployment(g)
 	var choose func(p *baselinePolicy, o *baselineOp) *server
-	switch r.arm.Policy {
+	switch sim.arm.Policy {
 	case "", "module":
 		return choice.New(g, d)
 	case "oracle":
@@ -33,12 +33,14 @@
 		choose = (*baselinePolicy).betterOfTwo
 	}
 	p := newBaselinePolicy(g, d, choose)
-	p.isOracle = r.arm.Policy == "oracle"
+	p.isOracle = sim.arm.Policy == "oracle"
 	return p
 }
 
+// newBaselinePolicy returns a policy that picks servers with choose. choose returns nil if no server will do for now.
 func newBaselinePolicy(g *gateway, d *choice.Deployment, choose func(p *baselinePolicy, o *baselineOp) *server) *baselinePolicy {
-	p := &baselinePolicy{gateway: g, deployment: d, ops: map[uint32]*baselineOp{}, choose: choose, openSends: map[uint32]int{}, states: map[uint32]choice.State{}}
+	p := &baselinePolicy{gateway: g, deployment: d, ops: map[uint32]*baselineOp{}, choose: choose, openSends: map[uint32]int{},
+		states: map[uint32]choice.State{}}
 	if d.ListOnRequest {
 		g.WatchList()
 	}
@@ -46,21 +48,22 @@
 	return p
 }
 
-// plain is a gateway with a simple policy, to compare the module with. It keeps rules 1, 2 and 3; whether it keeps 4 and 5
-// is up to the policy, and the checker tells.
+// baselinePolicy is a simple policy to compare the decision module with. It keeps rules 1, 2 and 3. Whether rules 4
+// and 5 hold depends on choose.
 type baselinePolicy struct {
 	gateway    *gateway
 	deployment *choice.Deployment
 	ops        map[uint32]*baselineOp
-	held       []*baselineOp
+	held       []*baselineOp // no server would do so far
 	choose     func(p *baselinePolicy, o *baselineOp) *server
-	rotation   int
-	drawCount  uint64
+	rotation   int    // where the next rotation over a group's members begins
+	drawCount  uint64 // random numbers drawn
 	isOracle   bool
-	openSends  map[uint32]int // own sends out, by server
-	states     map[uint32]choice.State
+	openSends  map[uint32]int          // by server id: sends of this gateway without a result so far
+	states     map[uint32]choice.State // by server id, from the list
 }
 
+// baselineOp is an op that the policy has not finished.
 type baselineOp struct {
 	id             uint32
 	typeNumber     uint8
@@ -69,33 +72,38 @@
 	group          *group
 	clientLeavesAt time.Duration
 	targetAt       time.Duration
-	minPosition    time.Duration // of the gateway's clock
+	minPosition    time.Duration // that a session's read must see, by the gateway's clock
 	sendCount      int
-	sentTo         *server
-	sentAt         time.Duration
-	mayHaveRun     bool
-	mayHaveRunAt   time.Duration
+	sentTo         *server       // of the open send, else nil
+	sentAt         time.Duration // of the last send
+	mayHaveRun     bool          // a send has ended that may have run
+	mayHaveRunAt   time.Duration // when the first such send started
 }
 
-func (p *baselinePolicy) Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration, inGroup uint16, wroteAgo time.Duration, again bool) {
-	t := &p.deployment.OpTypes[kind]
-	o := &baselineOp{id: id, typeNumber: kind, opType: t, valuePerWork: t.Value / float64(p.gateway.sim.opTypes[kind].Work), group: p.gateway.sim.groups[inGroup], clientLeavesAt: due, targetAt: now + t.Target, minPosition: choice.LongPast}
-	if t.Need == choice.Session && wroteAgo > 0 {
-		o.minPosition = now - wroteAgo
+func (p *baselinePolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration, groupID uint16,
+	writeAge time.Duration, isRetry bool) {
+	opType := &p.deployment.OpTypes[typeNumber]
+	o := &baselineOp{id: id, typeNumber: typeNumber, opType: opType,
+		valuePerWork: opType.Value / float64(p.gateway.sim.opTypes[typeNumber].Work), group: p.gateway.sim.groups[groupID],
+		clientLeavesAt: clientLeavesAt, targetAt: now + opType.Target, minPosition: choice.LongPast}
+	if opType.Need == choice.Session && writeAge > 0 {
+		o.minPosition = now - writeAge
 	}
-	if p.isOracle { // a retry earns by when its first try was made
-		o.targetAt = p.gateway.ops[id].request.askedAt - p.gateway.clockBase + t.Target
+	if p.isOracle { // the latency target of a retry counts from its first try
+		o.targetAt = p.gateway.ops[id].request.askedAt - p.gateway.clockBase + opType.Target
 	}
 	p.ops[id] = o
 	p.dispatch(now, o)
 }
 
-// place sends an op, holds it while there is nowhere to send it, or gives it up.
+// dispatch sends an op, holds it if no server will do, or gives it up if sending is no longer allowed or useful.
 func (p *baselinePolicy) dispatch(now time.Duration, o *baselineOp) {
-	may := o.sendCount < p.deployment.MaxSends && (!o.mayHaveRun || o.opType.Effect == choice.Retryable ||
-		o.opType.Effect == choice.Tokened && o.opType.Scope != choice.ScopeZone && now-o.mayHaveRunAt < o.opType.Window-2*p.deployment.EventInterval)
-	last := p.usefulUntil(o)
-	if !may || now >= last-2*p.deployment.EventInterval || p.isOracle && now+p.gateway.sim.opTypes[o.typeNumber].Work/2 > last {
+	maySend := o.sendCount < p.deployment.MaxSends && (!o.mayHaveRun || o.opType.Effect == choice.Retryable ||
+		o.opType.Effect == choice.Tokened && o.opType.Scope != choice.ScopeZone &&
+			now-o.mayHaveRunAt < o.opType.Window-2*p.deployment.EventInterval)
+	usefulUntil := p.usefulUntil(o)
+	if !maySend || now >= usefulUntil-2*p.deployment.EventInterval ||
+		p.isOracle && now+p.gateway.sim.opTypes[o.typeNumber].Work/2 > usefulUntil {
 		p.unhold(o)
 		delete(p.ops, o.id)
 		if !o.mayHaveRun || o.opType.Effect == choice.Retryable || o.opType.Effect == choice.Tokened && o.opType.Scope == choice.ScopeAll {
@@ -119,7 +127,7 @@
 	p.gateway.Send(o.id, s.id, 0)
 }
 
-// last is when an ack earns nothing any more.
+// usefulUntil returns the time from which an ack earns nothing.
 func (p *baselinePolicy) usefulUntil(o *baselineOp) time.Duration {
 	if o.opType.LateValue == 0 {
 		return min(o.clientLeavesAt, o.targetAt)
@@ -131,8 +139,9 @@
 	p.held = slices.DeleteFunc(p.held, func(x *baselineOp) bool { return x == o })
 }
 
-func (p *baselinePolicy) Answer(now time.Duration, id uint32, send uint8, at uint32, result choice.Result, took time.Duration, final bool, role choice.Role, pos time.Duration) {
-	p.openSends[at]--
+func (p *baselinePolicy) Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result, took time.Duration,
+	final bool, role choice.Role, pos time.Duration) {
+	p.openSends[serverID]--
 	o := p.ops[id]
 	if o == nil {
 		return
@@ -152,7 +161,7 @@
 		}
 		return
 	}
-	if result == choice.ServerFull || result == choice.NoConnection { // at once it would be no better
+	if result == choice.ServerFull || result == choice.NoConnection { // trying again at once would be no better
 		p.held = append(p.held, o)
 		return
 	}
@@ -164,9 +173,9 @@
 	p.dispatchHeld(now)
 }
 
-// wake places what is held.
+// dispatchHeld tries again to send the held ops.
 func (p *baselinePolicy) dispatchHeld(now time.Duration) {
-	if p.isOracle { // the most valuable work first, the newest of equal worth
+	if p.isOracle { // most value for the work first, among equals the latest target first
 		slices.SortStableFunc(p.held, func(a, b *baselineOp) int {
 			return cmp.Or(cmp.Compare(b.valuePerWork, a.valuePerWork), cmp.Compare(b.targetAt, a.targetAt))
 		})
@@ -199,7 +208,8 @@
 	return o.opType.Need == choice.Write || o.opType.Need == choice.Fresh
 }
 
-// home sends all to the primary, which it knows as soon as there is one: the floor that anything else must beat.
+// primary picks the primary for all ops, and learns of a new one without delay. It is the lower bound that every other
+// policy should beat.
 func (p *baselinePolicy) primary(o *baselineOp) *server {
 	if s := o.group.primary; s != nil && p.ready(s) {
 		return s
@@ -207,7 +217,7 @@
 	return nil
 }
 
-// turns sends reads to all members in turn, whatever is known of them.
+// roundRobin picks the ready members in turn for reads, whatever their position.
 func (p *baselinePolicy) roundRobin(o *baselineOp) *server {
 	if p.primaryOnly(o) {
 		return p.primary(o)
@@ -221,7 +231,7 @@
 	return nil
 }
 
-// least sends reads to the member that owes this gateway the fewest answers.
+// leastOpen picks for reads the ready member with the fewest open sends of this gateway.
 func (p *baselinePolicy) leastOpen(o *baselineOp) (best *server) {
 	if p.primaryOnly(o) {
 		return p.primary(o)
@@ -236,7 +246,7 @@
 	return best
 }
 
-// two sends reads to the better of two members drawn by chance.
+// betterOfTwo picks for reads the one of two random members that has fewer open sends of this gateway.
 func (p *baselinePolicy) betterOfTwo(o *baselineOp) (best *server) {
 	if p.primaryOnly(o) {
 		return p.primary(o)
@@ -250,23 +260,25 @@
 	return best
 }
 
-// oracle sees the true state of all servers and of what is under way to them: the top that nothing real reaches. It sends
-// an op to where it will be done first, and holds it while nowhere is good.
+// oracle picks the server that should finish the op first, or none while no server is good. It sees the true state of
+// all servers and of the ops under way to them, and so is an upper bound that no real policy reaches.
 func (p *baselinePolicy) oracle(o *baselineOp) (best *server) {
-	w := p.gateway.sim
-	now := w.now
-	least := time.Duration(1 << 62)
+	sim := p.gateway.sim
+	now := sim.now
+	shortestWait := time.Duration(1 << 62)
 	for _, s := range o.group.members {
-		if !s.isUp() || s.hung || s.draining || s.refusing || !w.reaches(p.gateway, s, true) || !w.reaches(p.gateway, s, false) || !p.ready(s) {
+		if !s.isUp() || s.hung || s.draining || s.refusing || !sim.reaches(p.gateway, s, true) ||
+			!sim.reaches(p.gateway, s, false) || !p.ready(s) {
 			continue
 		}
-		if s.errorShare >= 0.9 { // it fails nearly all
+		if s.errorShare >= 0.9 { // nearly all ops there fail
 			continue
 		}
-		if l := p.gateway.pool(s); s.connectionLimit > 0 && s.openConnections >= s.connectionLimit && (l.generation != s.generation || len(l.idleSince) == 0) {
+		if pool := p.gateway.pool(s); s.connectionLimit > 0 && s.openConnections >= s.connectionLimit &&
+			(pool.generation != s.generation || len(pool.idleSince) == 0) {
 			continue
 		}
-		want := choice.LongPast
+		minPosition := choice.LongPast
 		switch o.opType.Need {
 		case choice.Write, choice.Fresh:
 			if !s.isPrimary() {
@@ -274,36 +286,36 @@
 			}
 		case choice.Session:
 			if o.minPosition != choice.LongPast {
-				want = o.minPosition + p.gateway.clockBase
+				minPosition = o.minPosition + p.gateway.clockBase
 			}
 		case choice.Bounded:
-			want = now - o.opType.Bound
+			minPosition = now - o.opType.Bound
 		}
-		if !s.isPrimary() && want > s.position() {
+		if !s.isPrimary() && minPosition > s.position() {
 			continue
 		}
-		pace := s.currentSpeed()
-		if s.speedShare(now) < 1 && float64(s.openAttempts) > float64(s.cores)*1.5 { // what is cold is not pushed over
+		speed := s.currentSpeed()
+		if s.speedShare(now) < 1 && float64(s.openAttempts) > float64(s.cores)*1.5 { // a cold server must not be overloaded
 			continue
 		}
-		wait := time.Duration(float64(max(0, s.openAttempts-s.cores+1)) * float64(w.meanWork) / (float64(s.cores) * pace))
-		wait += time.Duration(float64(w.meanWork)/pace) + 2*w.world.Network.Within
+		wait := time.Duration(float64(max(0, s.openAttempts-s.cores+1)) * float64(sim.meanWork) / (float64(s.cores) * speed))
+		wait += time.Duration(float64(sim.meanWork)/speed) + 2*sim.world.Network.Within
 		if p.gateway.zone != s.zone {
-			wait += 2 * (w.world.Network.Between - w.world.Network.Within)
+			wait += 2 * (sim.world.Network.Between - sim.world.Network.Within)
 		}
 		if s.errorShare > 0 {
 			wait = time.Duration(float64(wait) / (1 - s.errorShare))
 		}
 		if s.isPrimary() && !p.primaryOnly(o) {
-			wait += wait / 2 // it alone can do writes
+			wait += wait / 2 // keeps the primary free for writes
 		}
-		if wait < least {
-			best, least = s, wait
+		if wait < shortestWait {
+			best, shortestWait = s, wait
 		}
 	}
 	if best == nil || best.openAttempts >= best.cores+2 ||
-		now-p.gateway.clockBase+least > p.usefulUntil(o) && o.opType.LateValue == 0 {
-		return nil // it would only wait there instead of here
+		now-p.gateway.clockBase+shortestWait > p.usefulUntil(o) && o.opType.LateValue == 0 {
+		return nil // the op would only wait at the server instead of here, or be too late
 	}
 	return best
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -84,9 +84,9 @@
 	False     int64 // members held dead that were there and could be reached
 }
 
-func newResult(r *simulation) *Result {
-	res := &Result{sim: r, Logs: map[string]int64{}}
-	for _, t := range r.opTypes {
+func newResult(sim *simulation) *Result {
+	res := &Result{sim: sim, Logs: map[string]int64{}}
+	for _, t := range sim.opTypes {
 		res.Types = append(res.Types, TypeResult{Name: t.Name, Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)})
 	}
 	return res
@@ -181,9 +181,9 @@
 }
 
 // trace keeps the life of the op that was asked for.
-func (r *simulation) traceOp(t *gatewayOp, format string, args ...any) {
-	if r.result.tracedOp != 0 && t.request.id == r.result.tracedOp {
-		r.result.Trace = append(r.result.Trace, Event{r.now, fmt.Sprintf(format, args...)})
+func (sim *simulation) traceOp(t *gatewayOp, format string, args ...any) {
+	if sim.result.tracedOp != 0 && t.request.id == sim.result.tracedOp {
+		sim.result.Trace = append(sim.result.Trace, Event{sim.now, fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -55,27 +55,27 @@
 
 // Run plays a day. The faults' order does not matter. An error tells what does not make sense.
 func Run(w World, faults []Fault, arm Arm, seed uint64) (*Result, error) {
-	r, err := newSimulation(w, faults, arm, seed)
+	sim, err := newSimulation(w, faults, arm, seed)
 	if err != nil {
 		return nil, err
 	}
-	r.play()
-	return r.result, nil
+	sim.play()
+	return sim.result, nil
 }
 
 // Trace plays a day as Run does and keeps the life of one op.
 func Trace(w World, faults []Fault, arm Arm, seed, op uint64) (*Result, error) {
-	r, err := newSimulation(w, faults, arm, seed)
+	sim, err := newSimulation(w, faults, arm, seed)
 	if err != nil {
 		return nil, err
 	}
-	r.result.tracedOp = op
-	r.play()
-	return r.result, nil
+	sim.result.tracedOp = op
+	sim.play()
+	return sim.result, nil
 }
 
 func newSimulation(w World, faults []Fault, arm Arm, seed uint64) (*simulation, error) {
-	r := &simulation{world: w, arm: arm, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), networkRNG: rand.New(rand.NewPCG(seed, 2))}
+	sim := &simulation{world: w, arm: arm, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), networkRNG: rand.New(rand.NewPCG(seed, 2))}
 	if err := w.check(); err != nil {
 		return nil, err
 	}
@@ -87,107 +87,107 @@
 		if o.need == choice.Bounded {
 			o.config.Bound = t.Bound
 		}
-		r.opTypes = append(r.opTypes, o)
+		sim.opTypes = append(sim.opTypes, o)
 		shares += t.Share
 		work += t.Share * float64(t.Work)
 	}
-	r.meanWork = time.Duration(work / shares)
-	r.checks = checksOf[w.Reports.Checks]
-	r.result = newResult(r)
-	r.checker = newChecker(r)
-	r.discovery = &discoveryService{sim: r, entries: map[*server]*listEntry{}, falseStates: map[*server]choice.State{}}
+	sim.meanWork = time.Duration(work / shares)
+	sim.checks = checksOf[w.Reports.Checks]
+	sim.result = newResult(sim)
+	sim.checker = newChecker(sim)
+	sim.discovery = &discoveryService{sim: sim, entries: map[*server]*listEntry{}, falseStates: map[*server]choice.State{}}
 	for i := range w.Servers.Groups {
-		g := &group{sim: r, index: i, primaryLostAt: longAgo, tokens: map[uint64]*token{}}
-		r.groups = append(r.groups, g)
+		g := &group{sim: sim, index: i, primaryLostAt: longAgo, tokens: map[uint64]*token{}}
+		sim.groups = append(sim.groups, g)
 		for j := range w.Servers.Members {
-			s := r.addServer(g, (i+j)%w.Zones, uint8(i%len(w.Servers.Kinds)))
+			s := sim.addServer(g, (i+j)%w.Zones, uint8(i%len(w.Servers.Kinds)))
 			s.startedAt, s.appliedTo = longAgo, 0
 			e := &listEntry{server: s, state: choice.Ready, primary: j == 0 && w.List.Roles != "none", startedAt: longAgo}
-			r.discovery.entries[s] = e
-			r.discovery.ordered = append(r.discovery.ordered, e)
+			sim.discovery.entries[s] = e
+			sim.discovery.ordered = append(sim.discovery.ordered, e)
 		}
 		g.primary = g.members[0]
 		g.primary.wasPrimary = true
 	}
 	for i := range w.Gateways.Count {
-		r.gateways = append(r.gateways, &gateway{sim: r, index: i, zone: i % w.Zones})
+		sim.gateways = append(sim.gateways, &gateway{sim: sim, index: i, zone: i % w.Zones})
 	}
-	r.clients = newClients(r)
+	sim.clients = newClients(sim)
 	if arm.Gossip {
-		r.gossipNet = newGossipNetwork(r)
+		sim.gossipNet = newGossipNetwork(sim)
 	}
 	for i := range faults {
 		f := faults[i]
-		if err := f.prepare(r, i); err != nil {
+		if err := f.prepare(sim, i); err != nil {
 			return nil, err
 		}
-		r.faults = append(r.faults, &f)
+		sim.faults = append(sim.faults, &f)
 	}
-	return r, nil
+	return sim, nil
 }
 
 // play plays the day to its end.
-func (r *simulation) play() {
+func (sim *simulation) play() {
 	// Instances have found one another before the first op. Every arm begins at that time, so that days can be compared.
-	start := r.world.Gossip.Warm
-	for _, g := range r.gateways {
+	start := sim.world.Gossip.Warm
+	for _, g := range sim.gateways {
 		g.boot()
-		r.at(start, g.startServing)
+		sim.at(start, g.startServing)
 	}
-	if r.gossipNet != nil {
-		r.gossipNet.countFrom = start
+	if sim.gossipNet != nil {
+		sim.gossipNet.countFrom = start
 	}
-	r.clients.startLoad(start)
-	for _, f := range r.faults {
-		f.schedule(r, start)
+	sim.clients.startLoad(start)
+	for _, f := range sim.faults {
+		f.schedule(sim, start)
 	}
-	if late := r.world.List.RolesLate; r.world.List.Roles == "late" && late > 0 {
+	if late := sim.world.List.RolesLate; sim.world.List.Roles == "late" && late > 0 {
 		var look func()
 		look = func() {
-			r.discovery.updateRoles()
-			r.after(late/2, look)
+			sim.discovery.updateRoles()
+			sim.after(late/2, look)
 		}
-		r.after(late/2, look)
+		sim.after(late/2, look)
 	}
-	end := start + r.world.Length
-	r.runUntil(end)
-	for i := 0; i < 60 && r.clients.openRequests > 0; i++ { // until all is answered, or can no more be
+	end := start + sim.world.Length
+	sim.runUntil(end)
+	for i := 0; i < 60 && sim.clients.openRequests > 0; i++ { // until all is answered, or can no more be
 		end += time.Second
-		r.runUntil(end)
+		sim.runUntil(end)
 	}
-	r.checker.checkUnanswered()
-	r.result.finish(start)
+	sim.checker.checkUnanswered()
+	sim.result.finish(start)
 }
 
 // addServer makes a server that does not run yet under the next id.
-func (r *simulation) addServer(g *group, zone int, kind uint8) *server {
-	id := uint32(len(r.servers) + 1)
-	k := r.world.Servers.Kinds[kind]
-	speed := k.Speed * (1 + r.world.Servers.Spread*(2*draw(r.seed, 0x5beed, uint64(id))-1))
-	s := &server{sim: r, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed, slowdown: 1, applySlowdown: 1, generation: 1}
-	r.servers = append(r.servers, s)
+func (sim *simulation) addServer(g *group, zone int, kind uint8) *server {
+	id := uint32(len(sim.servers) + 1)
+	k := sim.world.Servers.Kinds[kind]
+	speed := k.Speed * (1 + sim.world.Servers.Spread*(2*draw(sim.seed, 0x5beed, uint64(id))-1))
+	s := &server{sim: sim, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed, slowdown: 1, applySlowdown: 1, generation: 1}
+	sim.servers = append(sim.servers, s)
 	g.members = append(g.members, s)
 	return s
 }
 
 // event notes something that a reader of the day wants to see beside the figures.
-func (r *simulation) recordEvent(format string, args ...any) {
-	if len(r.result.Events) < maxEvents {
-		r.result.Events = append(r.result.Events, Event{r.now, fmt.Sprintf(format, args...)})
+func (sim *simulation) recordEvent(format string, args ...any) {
+	if len(sim.result.Events) < maxEvents {
+		sim.result.Events = append(sim.result.Events, Event{sim.now, fmt.Sprintf(format, args...)})
 	}
 }
 
 // way is how long something takes between two zones.
-func (r *simulation) delay(a, b int) time.Duration {
-	d := r.world.Network.Within
+func (sim *simulation) delay(a, b int) time.Duration {
+	d := sim.world.Network.Within
 	if a != b {
-		d = r.world.Network.Between
+		d = sim.world.Network.Between
 	}
-	return r.withJitter(d)
+	return sim.withJitter(d)
 }
 
-func (r *simulation) withJitter(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*r.world.Network.Jitter*r.networkRNG.ExpFloat64())
+func (sim *simulation) withJitter(d time.Duration) time.Duration {
+	return d + time.Duration(float64(d)*sim.world.Network.Jitter*sim.networkRNG.ExpFloat64())
 }
 
 // cut is a way that carries nothing.
@@ -199,8 +199,8 @@
 }
 
 // passes tells whether what a gateway sends reaches a server, and the other way.
-func (r *simulation) reaches(g *gateway, s *server, there bool) bool {
-	for _, c := range r.cuts {
+func (sim *simulation) reaches(g *gateway, s *server, there bool) bool {
+	for _, c := range sim.cuts {
 		if !c.betweenGateways && c.gateways[g.index] && c.servers[int(s.id)] && (there && c.toServer || !there && c.toInstance) {
 			return false
 		}
@@ -209,8 +209,8 @@
 }
 
 // talks tells whether what one instance sends reaches another.
-func (r *simulation) gossipReaches(from, to int) bool {
-	for _, c := range r.cuts {
+func (sim *simulation) gossipReaches(from, to int) bool {
+	for _, c := range sim.cuts {
 		if c.betweenGateways && (c.fromGateways[from] && c.toGateways[to]) {
 			return false
 		}
@@ -227,14 +227,14 @@
 )
 
 // deployment is what a gateway is told at its start.
-func (r *simulation) deployment(g *gateway) *choice.Deployment {
-	w := &r.world
-	d := &choice.Deployment{Gateways: w.Gateways.Count, Seed: mix(r.seed ^ uint64(g.index)<<20 ^ uint64(g.generation)), EventInterval: w.Gateways.Round,
-		ListOnRequest: w.List.Asked, AskWithin: w.List.Within, Checks: r.checks, AnswersCarryPosition: w.Reports.Answers, WriteAgeCarried: w.Reports.Carried,
+func (sim *simulation) deployment(g *gateway) *choice.Deployment {
+	w := &sim.world
+	d := &choice.Deployment{Gateways: w.Gateways.Count, Seed: mix(sim.seed ^ uint64(g.index)<<20 ^ uint64(g.generation)), EventInterval: w.Gateways.Round,
+		ListOnRequest: w.List.Asked, AskWithin: w.List.Within, Checks: sim.checks, AnswersCarryPosition: w.Reports.Answers, WriteAgeCarried: w.Reports.Carried,
 		MayProbe: w.Gateways.Probes, MayCancel: w.Gateways.Cancels, MaxRetryAfter: w.Gateways.ComeBack, MaxSends: w.Gateways.MaxSends,
 		ColdFrom: w.Servers.ColdFrom, ColdTime: w.Servers.ColdTime, OverloadFactor: w.Rules.Overload,
 		OverloadTime: w.Rules.FallTime, ReportsPosition: w.Reports.Probes, ReportsRole: w.Reports.Probes}
-	for _, t := range r.opTypes {
+	for _, t := range sim.opTypes {
 		d.OpTypes = append(d.OpTypes, t.config)
 	}
 	return d
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -8,17 +8,17 @@
 	"gorsewell/choice"
 )
 
-// condition is what has become of a server's process or machine.
+// condition is the state of a server's process or machine.
 type condition uint8
 
 const (
 	serverUp         condition = iota
-	serverCrashed              // its process has ended: connections are reset, new ones refused
-	serverVanished             // the machine is silent
-	serverOverloaded           // it was pushed over while it was cold
+	serverCrashed              // the process has ended: connections are reset, new ones refused
+	serverVanished             // the machine does not answer at all
+	serverOverloaded           // the process has crashed because it was overloaded while cold
 )
 
-// server is one database server. It works on as many ops at a time as it has cores, first come first served.
+// server is one database server. It works on as many ops at a time as it has cores, in order of arrival.
 type server struct {
 	sim   *simulation
 	id    uint32
@@ -26,63 +26,64 @@
 	zone  int
 	kind  uint8
 	cores int
-	speed float64 // drawn for the day
+	speed float64 // of a core when warm, drawn for the run
 
 	state           condition
 	draining        bool
 	hung            bool
-	slowdown        float64 // factor on its work, 1 as a rule
-	errorShare      float64 // share of ops that end with an error
-	refusing        bool
-	probeErrorShare float64       // share of probes that fail while ops are served
-	positionLead    time.Duration // by which it claims to be further than it is
-	applySlowdown   float64       // factor on the applying of the log
-	connectionLimit int           // connections it takes for now, 0: as usual
-	startedAt       time.Duration
-	generation      int // counts its starts; what belongs to an earlier one comes to nothing
+	slowdown        float64       // factor on the time of all work, 1 without faults
+	errorShare      float64       // share of ops that end in an error
+	refusing        bool          // it refuses all ops as if it were full
+	probeErrorShare float64       // share of probes that fail although ops are served
+	positionLead    time.Duration // by which the position that it tells is ahead of the true one
+	applySlowdown   float64       // factor on the time that applying the log takes, 1 without faults
+	connectionLimit int           // replaces Servers.Conns unless 0
+	startedAt       time.Duration // longAgo: before the run
+	generation      int           // number of starts and crashes; what belongs to an earlier one has no effect
 
 	busyCores       int
 	queue           []*attempt
-	deferred        []func() // what waits for a hung server to go on
-	openConnections int      // connections
-	openAttempts    int      // attempts under way to it, as the oracle sees them
+	deferred        []func() // what waits until a hung server resumes
+	openConnections int      // connections of all gateways
+	openAttempts    int      // attempts without a result so far, for the oracle
 
-	// The log, on a replica: commits shipped and not applied, oldest first.
+	// The log, on a replica: times of the commits that are shipped but not applied, oldest first.
 	backlog      []time.Duration
-	applying     bool
-	appliedTo    time.Duration // of what it has applied, the newest commit
-	applyHolds   int           // long reads that stop the applying
-	waitingReads []*attempt    // reads that wait for a position
+	applying     bool          // the oldest commit of the backlog is being applied
+	appliedTo    time.Duration // time of the newest commit applied
+	applyHolds   int           // running reads that keep the log from being applied
+	waitingReads []*attempt    // reads that wait until the position is new enough
 	wasPrimary   bool
 
-	// Work sent to it while cold, for the rule and for its falling over.
+	// Work that arrived during the last Rules.FallTime while the server was cold, for rule 4 and to decide whether it crashes.
 	coldWindow  []coldWork
 	coldWorkSum float64
 }
 
+// coldWork is work that arrived at a cold server.
 type coldWork struct {
 	at         time.Duration
 	work       float64
-	startKnown bool // its gateway knew, or is deemed to have known, of the start
+	startKnown bool // its gateway knew of the server's start, or counts as knowing it
 }
 
 func (s *server) isUp() bool { return s.state == serverUp }
 
-// ramp is the share of its speed that a server has after a start.
+// speedShare returns the share of its full speed that the server has, which grows after a start.
 func (s *server) speedShare(now time.Duration) float64 {
 	if s.startedAt <= longAgo {
 		return 1
 	}
-	c := &s.sim.world.Servers
-	return min(1, c.ColdFrom+(1-c.ColdFrom)*float64(now-s.startedAt)/float64(max(1, c.ColdTime)))
+	settings := &s.sim.world.Servers
+	return min(1, settings.ColdFrom+(1-settings.ColdFrom)*float64(now-s.startedAt)/float64(max(1, settings.ColdTime)))
 }
 
-// pace is the work that one of its cores does in a second now.
+// currentSpeed returns the work, in seconds of a core of speed 1, that one of its cores now does in a second.
 func (s *server) currentSpeed() float64 { return s.speed * s.speedShare(s.sim.now) / s.slowdown }
 
 func (s *server) isPrimary() bool { return s.group.primary == s }
 
-// role is what the server says it is.
+// role returns the role that the server tells.
 func (s *server) role() choice.Role {
 	if s.isPrimary() {
 		return choice.Primary
@@ -90,14 +91,14 @@
 	return choice.Replica
 }
 
-// position is how far the server's data reach: a primary stands at the present, a replica at what it has applied, or where
-// nothing is left to apply, at what the primary can have shipped by now.
+// position returns the time up to which the server's data reach: the present for a primary. For a replica, it is what
+// it has applied or, with nothing left to apply, what the primary can have shipped by now.
 func (s *server) position() time.Duration {
 	if s.isPrimary() {
 		return s.sim.now
 	}
 	if len(s.backlog) > 0 {
-		return max(s.appliedTo, s.backlog[0]-1) // all before the next commit is there
+		return max(s.appliedTo, s.backlog[0]-1) // everything before the oldest unapplied commit is there
 	}
 	if p := s.group.primary; p != nil && p.isUp() && !p.hung {
 		return max(s.appliedTo, s.sim.now-s.sim.world.Log.Ship)
@@ -105,7 +106,7 @@
 	return max(s.appliedTo, s.group.primaryLostAt-s.sim.world.Log.Ship)
 }
 
-// told is the position that the server tells.
+// reportedPosition returns the position that the server tells.
 func (s *server) reportedPosition() time.Duration { return s.position() + s.positionLead }
 
 // commit is called when the primary has committed a write.
@@ -121,30 +122,31 @@
 	}
 }
 
-// keptCommits is how many commits of a group are kept for those that come back.
+// keptCommits is the number of commits of a group that are kept for members that come back.
 const keptCommits = 4096
 
+// ship sends a commit to the replica.
 func (s *server) ship(commit time.Duration) {
-	life := s.generation
+	generation := s.generation
 	s.sim.after(s.sim.world.Log.Ship, func() {
-		if s.generation == life && s.isUp() && !s.isPrimary() {
+		if s.generation == generation && s.isUp() && !s.isPrimary() {
 			s.backlog = append(s.backlog, commit)
 			s.apply()
 		}
 	})
 }
 
-// apply works on the next commit of the backlog, unless something holds it up.
+// apply applies the next commit of the backlog, unless something prevents that.
 func (s *server) apply() {
 	if s.applying || len(s.backlog) == 0 || s.applyHolds > 0 || !s.isUp() || s.hung || s.isPrimary() {
 		return
 	}
 	s.applying = true
-	life, commit := s.generation, s.backlog[0]
+	generation, commit := s.generation, s.backlog[0]
 	u := draw(s.sim.seed, 0x10f, uint64(s.id), uint64(commit))
 	work := time.Duration(float64(s.sim.world.Log.Apply) * exponential(u) * s.applySlowdown / s.currentSpeed())
 	s.sim.after(work, func() {
-		if s.generation != life || !s.applying {
+		if s.generation != generation || !s.applying {
 			return
 		}
 		s.applying = false
@@ -158,7 +160,7 @@
 	})
 }
 
-// reached serves the reads that waited for a position.
+// serveWaitingReads begins the reads whose position has been reached.
 func (s *server) serveWaitingReads() {
 	waiting := s.waitingReads
 	s.waitingReads = nil
@@ -171,15 +173,16 @@
 	}
 }
 
-// arrive takes an attempt whose last byte has come. Where the process does not run the network has answered before.
+// arrive handles an attempt that has come in whole. Attempts to servers that do not run are answered before by the
+// network.
 func (s *server) arrive(a *attempt) {
 	if s.hung {
 		s.deferred = append(s.deferred, func() { s.arrive(a) })
 		return
 	}
-	c := &s.sim.world.Servers
+	settings := &s.sim.world.Servers
 	s.countColdWork(a)
-	if !s.isUp() { // it has just fallen over
+	if !s.isUp() { // the attempt has just overloaded it
 		return
 	}
 	isWrite := a.opType.need == choice.Write
@@ -192,7 +195,7 @@
 		s.reply(a, choice.Declined)
 	case !isWrite && s.sim.checks == choice.Waits && !s.isPrimary() && a.minPosition > s.reportedPosition():
 		s.waitingReads = append(s.waitingReads, a)
-	case s.busyCores >= s.cores && len(s.queue) >= c.Queue*s.cores:
+	case s.busyCores >= s.cores && len(s.queue) >= settings.Queue*s.cores:
 		s.reply(a, choice.ServerFull)
 	default:
 		s.group.noteTokenedSend(a)
@@ -200,7 +203,7 @@
 	}
 }
 
-// begin lets an attempt work, or wait for a core.
+// begin starts work on an attempt, or queues it if no core is free.
 func (s *server) begin(a *attempt) {
 	if s.busyCores >= s.cores {
 		s.queue = append(s.queue, a)
@@ -213,18 +216,18 @@
 	}
 	a.running = true
 	s.sim.checker.workBegan(s, a)
-	life := s.generation
+	generation := s.generation
 	took := time.Duration(a.work / s.currentSpeed())
-	s.sim.after(took, func() { s.finish(a, life) })
+	s.sim.after(took, func() { s.finish(a, generation) })
 }
 
-// finish ends an attempt's work.
-func (s *server) finish(a *attempt, life int) {
-	if s.generation != life {
+// finish ends the work on an attempt.
+func (s *server) finish(a *attempt, generation int) {
+	if s.generation != generation {
 		return
 	}
-	if s.hung { // what was at work stands still too
-		s.deferred = append(s.deferred, func() { s.finish(a, life) })
+	if s.hung { // work in progress is suspended too
+		s.deferred = append(s.deferred, func() { s.finish(a, generation) })
 		return
 	}
 	s.busyCores--
@@ -242,11 +245,11 @@
 	failed := s.errorShare > 0 && draw(s.sim.seed, 0xfa17, a.request.id, uint64(a.op.gateway.index), uint64(a.number)) < s.errorShare
 	if a.opType.need == choice.Write {
 		switch {
-		case !s.isPrimary(): // it lost the role while it worked
+		case !s.isPrimary(): // it lost the role during the work
 			s.reply(a, choice.ServerError)
 			return
 		case !failed || draw(s.sim.seed, 0xeffec7, a.request.id, uint64(a.number)) < 0.5:
-			if s.group.takesEffect(s.sim.now, a) { // a repeat of a tokened op has no second effect
+			if s.group.takesEffect(s.sim.now, a) { // false for a repeat of a tokened op
 				s.sim.checker.writeTookEffect(s, a)
 				s.group.commit(s.sim.now)
 			}
@@ -259,7 +262,7 @@
 	s.reply(a, choice.Acked)
 }
 
-// reply sends the answer on its way.
+// reply sends the answer to an attempt.
 func (s *server) reply(a *attempt, result choice.Result) {
 	role, pos := choice.RoleUnknown, choice.LongPast
 	if s.sim.world.Reports.Answers {
@@ -268,60 +271,61 @@
 	s.sim.returnAnswer(a, result, role, pos)
 }
 
-// cold accounts for work that arrives at a cold server, and lets it fall over where that was too much.
+// countColdWork counts the work that arrives at a cold server, and crashes the server if that is too much. It is a
+// violation of rule 4 if the gateways knew of the start for two thirds of the work.
 func (s *server) countColdWork(a *attempt) {
 	if s.startedAt <= longAgo || s.sim.world.Rules.Overload <= 0 || s.speedShare(s.sim.now) >= 1 {
 		return
 	}
-	r := &s.sim.world.Rules
+	rules := &s.sim.world.Rules
 	s.coldWindow = append(s.coldWindow, coldWork{s.sim.now, a.work, a.op.gateway.knowsStart(s)})
 	s.coldWorkSum += a.work
-	for s.coldWindow[0].at <= s.sim.now-r.FallTime {
+	for s.coldWindow[0].at <= s.sim.now-rules.FallTime {
 		s.coldWorkSum -= s.coldWindow[0].work
 		s.coldWindow = s.coldWindow[1:]
 	}
-	// The ramp's mean over the window, as the server would have worked it off.
-	can := float64(s.cores) * s.speed * s.speedShare(max(s.startedAt, s.sim.now-r.FallTime/2)) * float64(r.FallTime)
-	slack := 4 * float64(s.sim.meanWork) // so that chance alone pushes nobody over
-	if s.coldWorkSum <= r.Overload*can+slack {
+	// The capacity is the mean over the window, taken at its middle.
+	capacity := float64(s.cores) * s.speed * s.speedShare(max(s.startedAt, s.sim.now-rules.FallTime/2)) * float64(rules.FallTime)
+	slack := 4 * float64(s.sim.meanWork) // so that random bursts alone crash no server
+	if s.coldWorkSum <= rules.Overload*capacity+slack {
 		return
 	}
-	told := 0.0
+	knownWork := 0.0
 	for _, c := range s.coldWindow {
 		if c.startKnown {
-			told += c.work
+			knownWork += c.work
 		}
 	}
 	s.sim.recordEvent("server %d pushed over while cold", s.id)
-	if told >= s.coldWorkSum*2/3 {
+	if knownWork >= s.coldWorkSum*2/3 {
 		s.sim.checker.recordViolation(4, a.op, fmt.Sprintf("server %d was sent %v of work in %v, %.1f times what it can do", s.id,
-			time.Duration(s.coldWorkSum).Round(time.Millisecond), r.FallTime, s.coldWorkSum/can))
+			time.Duration(s.coldWorkSum).Round(time.Millisecond), rules.FallTime, s.coldWorkSum/capacity))
 	}
 	s.crash(serverOverloaded)
 }
 
-// crash ends the process, or the machine.
-func (s *server) crash(how condition) {
+// crash ends the process or, as serverVanished, the machine.
+func (s *server) crash(state condition) {
 	if !s.isUp() {
 		return
 	}
 	s.appliedTo = s.position()
-	s.state = how
+	s.state = state
 	s.generation++
 	s.busyCores, s.applyHolds, s.applying = 0, 0, false
 	s.queue, s.deferred, s.waitingReads, s.coldWindow, s.coldWorkSum, s.hung = nil, nil, nil, nil, 0, false
-	s.sim.breakConnections(s, how != serverVanished)
+	s.sim.breakConnections(s, state != serverVanished)
 	s.group.memberLost(s)
 	s.sim.discovery.serverChanged(s)
 }
 
-// start brings a server back, cold, with the log where it stood.
+// start brings a server back, cold, with its log at the position that it had.
 func (s *server) start() {
 	if s.isUp() {
 		return
 	}
 	if s.state == serverVanished {
-		s.sim.breakConnections(s, true) // connections that were open are reset when the machine is back
+		s.sim.breakConnections(s, true) // connections still open at the gateways are reset when the machine is back
 	}
 	s.state, s.generation, s.startedAt, s.draining = serverUp, s.generation+1, s.sim.now, false
 	s.backlog = nil
@@ -329,7 +333,7 @@
 	s.sim.discovery.serverChanged(s)
 }
 
-// freezes makes a server take ops and answer none, or go on.
+// setHung makes a server accept ops without answering any, or resume.
 func (s *server) setHung(hung bool) {
 	if s.hung == hung || !s.isUp() {
 		return
@@ -339,32 +343,32 @@
 		s.group.memberLost(s)
 		return
 	}
-	stuck := s.deferred
+	deferred := s.deferred
 	s.deferred = nil
-	for _, do := range stuck {
-		do()
+	for _, resume := range deferred {
+		resume()
 	}
-	if s.applying { // its applying went on in the meantime, which is little
+	if s.applying { // the commit being applied went on during the hang, which makes little difference
 		return
 	}
 	s.apply()
 }
 
-// drains makes a server refuse what is new; it ends when it has had time to finish.
+// drain makes a server refuse new ops. After Servers.Drain it ends.
 func (s *server) drain() {
 	s.draining = true
 	s.group.handOver(s)
 	s.sim.discovery.serverChanged(s)
-	life := s.generation
+	generation := s.generation
 	s.sim.after(s.sim.world.Servers.Drain, func() {
-		if s.generation == life && s.draining {
+		if s.generation == generation && s.draining {
 			s.crash(serverCrashed)
 		}
 	})
 }
 
-// capacity is the work that the server does in a second when it is well and warm.
+// capacity returns the work that the server does in a second when it is warm and without faults.
 func (s *server) capacity() float64 { return float64(s.cores) * s.speed }
 
-// longAgo stands for a start before the day.
+// longAgo stands for a start before the run.
 const longAgo = time.Duration(math.MinInt64 / 4)
