--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -106,7 +106,8 @@
 	}
 	// A busy reply tells the client that trying again is harmless.
 	effect, scope := op.request.opType.config.Effect, op.request.opType.config.Scope
-	if (op.record.mayHaveRun || op.record.openSends > 0) && (effect == choice.NonRetryable || effect == choice.Tokened && scope != choice.ScopeAll) {
+	if (op.record.mayHaveRun || op.record.openSends > 0) &&
+		(effect == choice.NonRetryable || effect == choice.Tokened && scope != choice.ScopeAll) {
 		c.recordViolation(2, op, "busy-replied though a send may have run")
 	}
 }
@@ -132,7 +133,8 @@
 		}
 	case choice.Tokened:
 		scope := op.request.opType.config.Scope
-		if record.mayHaveRun && (now-record.mayHaveRunAt > op.request.opType.Window || scope != choice.ScopeAll && record.mayHaveRunGroup != s.group || scope == choice.ScopeZone) {
+		if record.mayHaveRun && (now-record.mayHaveRunAt > op.request.opType.Window ||
+			scope != choice.ScopeAll && record.mayHaveRunGroup != s.group || scope == choice.ScopeZone) {
 			c.recordViolation(2, op, "sent again outside of where, or when, repeats are dropped")
 		}
 	}
@@ -147,9 +149,12 @@
 		c.recordViolation(3, op, fmt.Sprintf("sent to server %d, %v after it was told that this drains or is gone", s.id, now-known.since))
 	} else if !ok || known.state == choice.Ready {
 		// A gateway that neither watches nor requests the list counts as knowing it after List.Within.
-		if c.sim.world.List.Asked && !g.watchesList && now-g.lastListAt > c.sim.world.List.Within+c.sim.world.Rules.Grace && !c.sim.discovery.down {
-			if entry := c.sim.discovery.entries[s]; entry != nil && entry.state != choice.Ready && (!c.sim.world.Reports.GoneRuns || entry.state == choice.Draining) {
-				c.recordViolation(3, op, fmt.Sprintf("sent to server %d, which the list calls drained or gone, without asking for %v", s.id, now-g.lastListAt))
+		if c.sim.world.List.Asked && !g.watchesList &&
+			now-g.lastListAt > c.sim.world.List.Within+c.sim.world.Rules.Grace && !c.sim.discovery.down {
+			if entry := c.sim.discovery.entries[s]; entry != nil && entry.state != choice.Ready &&
+				(!c.sim.world.Reports.GoneRuns || entry.state == choice.Draining) {
+				c.recordViolation(3, op, fmt.Sprintf("sent to server %d, which the list calls drained or gone, without asking for %v",
+					s.id, now-g.lastListAt))
 			}
 		}
 	}
@@ -187,7 +192,8 @@
 		return
 	}
 	for _, e := range c.sim.servers { // servers missing from a full list are gone
-		if old, ok := known[e]; ok && old.state == choice.Ready && !slices.ContainsFunc(entries, func(l listEntry) bool { return l.server == e }) {
+		if old, ok := known[e]; ok && old.state == choice.Ready &&
+			!slices.ContainsFunc(entries, func(l listEntry) bool { return l.server == e }) {
 			known[e] = knownState{c.sim.now, choice.Gone, false}
 		}
 	}
@@ -221,14 +227,16 @@
 		c.sim.result.StaleExcused++
 		return
 	}
-	c.recordViolation(5, op, fmt.Sprintf("server %d answered from data %v older than allowed", a.server.id, a.minPosition-a.dataPosition))
+	c.recordViolation(5, op, fmt.Sprintf("server %d answered from data %v older than allowed",
+		a.server.id, a.minPosition-a.dataPosition))
 }
 
 // checkUnanswered is called at the end of a run and reports the ops that have had no final answer.
 func (c *checker) checkUnanswered() {
 	for _, g := range c.sim.gateways {
 		for _, op := range g.opsByID() {
-			if op.record.finalAnswers == 0 && !g.down && c.sim.now > op.clientLeavesAt+c.sim.world.Rules.Slack && c.sim.now > g.pausedUntil {
+			if op.record.finalAnswers == 0 && !g.down &&
+				c.sim.now > op.clientLeavesAt+c.sim.world.Rules.Slack && c.sim.now > g.pausedUntil {
 				c.recordViolation(1, op, "never answered")
 			}
 		}
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -9,43 +9,45 @@
 	"gorsewell/choice"
 )
 
-// request is what a client wants, with all its tries.
+// request is an op that a client wants done, over all its tries.
 type request struct {
 	id                uint64
 	opType            *opType
 	group             *group
 	session           uint64
-	homeGateway       int // the gateway that the front would take
-	askedAt           time.Duration
-	work              float64 // nanoseconds of a core of speed 1
-	patience          float64 // share of the op timeout for which its client waits
-	honoursRetryAfter bool    // comes back when it is told to
-	tryCount          int
+	homeGateway       int           // gateway that the front end prefers for the session
+	askedAt           time.Duration // of the first try
+	work              float64       // nanoseconds of a core of speed 1
+	patience          float64       // share of the op timeout for which the client waits
+	honoursRetryAfter bool          // waits as long as a busy reply says
+	tryCount          int           // tries so far
 	finished          bool
 }
 
-// clients asks, and keeps what it is answered.
+// clients makes the requests, and receives the answers to them.
 type clients struct {
 	sim                    *simulation
-	rng                    *rand.Rand // draws what is asked; nothing that a gateway does changes its course
+	rng                    *rand.Rand // draws the requests; nothing that a gateway does changes its sequence
 	lastID                 uint64
 	openRequests           int
-	baseRate               float64 // ops a second where the curve's factor is 1
-	cumulativeShares       []float64
-	cumulativeGroupWeights []float64 // of groups, added up
-	recentWrites           [][]recentWrite
-	knownCommits           map[uint64]time.Duration // by session: the newest commit that its client knows of
-	nextArrival            int
+	baseRate               float64                  // requests a second where the load factor is 1
+	cumulativeShares       []float64                // of the op types, see pickWeighted
+	cumulativeGroupWeights []float64                // of the groups, see pickWeighted
+	recentWrites           [][]recentWrite          // by group
+	knownCommits           map[uint64]time.Duration // time of the newest commit that a session knows of, by its key (see lastWrite)
+	nextArrival            int                      // index into Load.Arrivals
 	firstOpAt              time.Duration
-	bursts                 []*Fault
+	bursts                 []*Fault // burst faults under way
 }
 
+// recentWrite is a write that a session read may follow.
 type recentWrite struct {
 	session     uint64
 	homeGateway int
 	at          time.Duration
 }
 
+// newClients returns the clients of a run, which make no request before startLoad.
 func newClients(sim *simulation) *clients {
 	c := &clients{sim: sim, rng: rand.New(rand.NewPCG(sim.seed, 3)), knownCommits: map[uint64]time.Duration{}}
 	sum := 0.0
@@ -70,42 +72,42 @@
 	return c
 }
 
-// factor is the load's at a time.
+// loadFactor returns the factor of the load at a time since the first op.
 func (c *clients) loadFactor(now time.Duration) float64 {
-	f := 1.0
+	factor := 1.0
 	if curve := c.sim.world.Load.Curve; len(curve) > 0 {
 		i, _ := slices.BinarySearchFunc(curve, now, func(p Point, at time.Duration) int { return int(p.At - at) })
 		switch {
 		case i == 0:
-			f = curve[0].Factor
+			factor = curve[0].Factor
 		case i == len(curve):
-			f = curve[i-1].Factor
+			factor = curve[i-1].Factor
 		default:
 			a, b := curve[i-1], curve[i]
-			f = a.Factor + (b.Factor-a.Factor)*float64(now-a.At)/float64(b.At-a.At)
+			factor = a.Factor + (b.Factor-a.Factor)*float64(now-a.At)/float64(b.At-a.At)
 		}
 	}
 	for _, b := range c.bursts {
-		f *= b.Size
+		factor *= b.Size
 	}
-	return f
+	return factor
 }
 
-// begin lets ops come in from a time on.
-func (c *clients) startLoad(start time.Duration) {
-	c.firstOpAt = start
-	c.sim.at(start, c.scheduleNext)
+// startLoad lets requests begin at a time.
+func (c *clients) startLoad(firstOpAt time.Duration) {
+	c.firstOpAt = firstOpAt
+	c.sim.at(firstOpAt, c.scheduleNext)
 }
 
-// next lets an op come in, after the one before.
+// scheduleNext schedules the next request.
 func (c *clients) scheduleNext() {
-	l := &c.sim.world.Load
+	load := &c.sim.world.Load
 	var gap time.Duration
-	if len(l.Arrivals) > 0 {
-		if c.nextArrival >= len(l.Arrivals) {
+	if len(load.Arrivals) > 0 {
+		if c.nextArrival >= len(load.Arrivals) {
 			return
 		}
-		gap = c.firstOpAt + time.Duration(l.Arrivals[c.nextArrival]*float64(time.Second)) - c.sim.now
+		gap = c.firstOpAt + time.Duration(load.Arrivals[c.nextArrival]*float64(time.Second)) - c.sim.now
 		c.nextArrival++
 	} else {
 		rate := c.baseRate * c.loadFactor(c.sim.now-c.firstOpAt)
@@ -125,93 +127,98 @@
 	})
 }
 
-func pickWeighted(rng *rand.Rand, added []float64) int {
-	x := rng.Float64() * added[len(added)-1]
-	i, _ := slices.BinarySearch(added, x)
-	return min(i, len(added)-1)
+// pickWeighted draws an index by its weight. cumulative holds the sums of the weights up to each index.
+func pickWeighted(rng *rand.Rand, cumulative []float64) int {
+	x := rng.Float64() * cumulative[len(cumulative)-1]
+	i, _ := slices.BinarySearch(cumulative, x)
+	return min(i, len(cumulative)-1)
 }
 
-// ask draws an op and has it sent.
+// newRequest draws a request and sends its first try.
 func (c *clients) newRequest() {
-	w := &c.sim.world
-	t := c.sim.opTypes[pickWeighted(c.rng, c.cumulativeShares)]
-	g := pickWeighted(c.rng, c.cumulativeGroupWeights)
-	count := max(1, w.Clients.Sessions) * w.Gateways.Count
+	world := &c.sim.world
+	opType := c.sim.opTypes[pickWeighted(c.rng, c.cumulativeShares)]
+	group := pickWeighted(c.rng, c.cumulativeGroupWeights)
+	count := max(1, world.Clients.Sessions) * world.Gateways.Count
 	session := uint64(c.rng.IntN(count)) + 1
-	home := int(session) % w.Gateways.Count
+	homeGateway := int(session) % world.Gateways.Count
 	c.lastID++
-	q := &request{id: c.lastID, opType: t, group: c.sim.groups[g], session: session, homeGateway: home, askedAt: c.sim.now, tryCount: 0}
-	u1, u2, u3, u4, u5 := c.rng.Float64(), c.rng.Float64(), c.rng.Float64(), c.rng.Float64(), c.rng.Float64()
-	if t.need == choice.Session && u1 < w.Clients.Follows {
-		// Soon after a write: the one whose age is nearest to a gap drawn by chance.
-		wanted := time.Duration(exponential(u2) * float64(w.Clients.Gap))
+	req := &request{id: c.lastID, opType: opType, group: c.sim.groups[group], session: session, homeGateway: homeGateway,
+		askedAt: c.sim.now, tryCount: 0}
+	follows, gap, roams, patience, honours := c.rng.Float64(), c.rng.Float64(), c.rng.Float64(), c.rng.Float64(), c.rng.Float64()
+	if opType.need == choice.Session && follows < world.Clients.Follows {
+		// The read follows the write whose age is nearest to a random gap.
+		wanted := time.Duration(exponential(gap) * float64(world.Clients.Gap))
 		best := -1
-		for i, r := range c.recentWrites[g] {
-			if d := abs(c.sim.now - r.at - wanted); best < 0 || d < abs(c.sim.now-c.recentWrites[g][best].at-wanted) {
+		for i, r := range c.recentWrites[group] {
+			if d := abs(c.sim.now - r.at - wanted); best < 0 || d < abs(c.sim.now-c.recentWrites[group][best].at-wanted) {
 				best = i
 			}
 		}
 		if best >= 0 {
-			q.session, q.homeGateway = c.recentWrites[g][best].session, c.recentWrites[g][best].homeGateway
+			req.session, req.homeGateway = c.recentWrites[group][best].session, c.recentWrites[group][best].homeGateway
 		}
 	}
-	if t.need == choice.Write {
-		if len(c.recentWrites[g]) >= 32 {
-			c.recentWrites[g] = append(c.recentWrites[g][:0], c.recentWrites[g][16:]...)
+	if opType.need == choice.Write {
+		if len(c.recentWrites[group]) >= 32 {
+			c.recentWrites[group] = append(c.recentWrites[group][:0], c.recentWrites[group][16:]...)
 		}
-		c.recentWrites[g] = append(c.recentWrites[g], recentWrite{q.session, q.homeGateway, c.sim.now})
+		c.recentWrites[group] = append(c.recentWrites[group], recentWrite{req.session, req.homeGateway, c.sim.now})
 	}
-	if u3 < w.Clients.Roam {
-		q.homeGateway = int(u3 / w.Clients.Roam * float64(w.Gateways.Count))
+	if roams < world.Clients.Roam {
+		req.homeGateway = int(roams / world.Clients.Roam * float64(world.Gateways.Count))
 	}
-	q.patience = w.Clients.Patience + (1-w.Clients.Patience)*math.Sqrt(u4) // most wait for most of their time
-	q.honoursRetryAfter = u5 < w.Clients.Honour
-	q.work = float64(t.Work) * lognormal(c.rng.Float64(), t.Vary)
-	if t.Exp {
-		q.work = float64(t.Work) * c.rng.ExpFloat64()
+	// Most clients wait for most of the op timeout.
+	req.patience = world.Clients.Patience + (1-world.Clients.Patience)*math.Sqrt(patience)
+	req.honoursRetryAfter = honours < world.Clients.Honour
+	req.work = float64(opType.Work) * lognormal(c.rng.Float64(), opType.Vary)
+	if opType.Exp {
+		req.work = float64(opType.Work) * c.rng.ExpFloat64()
 	}
 	c.openRequests++
-	c.sim.result.opAsked(q)
-	c.try(q)
+	c.sim.result.opAsked(req)
+	c.try(req)
 }
 
 func abs(d time.Duration) time.Duration { return max(d, -d) }
 
-// try sends a request to a gateway.
-func (c *clients) try(q *request) {
-	g := c.chooseGateway(q)
-	sentAt, tryNo := c.sim.now, q.tryCount
-	q.tryCount++
-	due := sentAt + time.Duration(q.patience*float64(q.opType.Timeout))
-	way := c.sim.withJitter(c.sim.world.Network.Client)
-	c.sim.after(way, func() {
+// try sends a try of a request to a gateway.
+func (c *clients) try(req *request) {
+	g := c.chooseGateway(req)
+	sentAt, tryNumber := c.sim.now, req.tryCount
+	req.tryCount++
+	clientLeavesAt := sentAt + time.Duration(req.patience*float64(req.opType.Timeout))
+	delay := c.sim.withJitter(c.sim.world.Network.Client)
+	c.sim.after(delay, func() {
 		if g.down {
-			c.sim.after(way, func() { c.retry(q, 0, true) })
+			c.sim.after(delay, func() { c.retry(req, 0, true) })
 			return
 		}
 		g.runIfAlive(g.generation, func() {
-			mark, ago := c.lastWrite(g, q)
-			g.accept(q, tryNo, sentAt, max(due, c.sim.now), mark, ago)
+			minPosition, writeAge := c.lastWrite(g, req)
+			g.accept(req, tryNumber, sentAt, max(clientLeavesAt, c.sim.now), minPosition, writeAge)
 		})
-		if c.sim.now < g.pausedUntil { // it will be read when the gateway goes on; its client may have left by then
-			life := g.generation
-			c.sim.at(due, func() {
-				if g.generation != life {
-					c.retry(q, 0, true)
+		if c.sim.now < g.pausedUntil { // the gateway reads it after the pause, when the client may have left
+			generation := g.generation
+			c.sim.at(clientLeavesAt, func() {
+				if g.generation != generation {
+					c.retry(req, 0, true)
 				}
 			})
 		}
 	})
 }
 
-// mark is what a session's read must see, and how long ago that was.
-func (c *clients) lastWrite(g *gateway, q *request) (mark, ago time.Duration) {
-	if q.opType.need != choice.Session {
+// lastWrite returns the position that a session's read must see, which is that of the session's last known write, and
+// its age. With Reports.Carried the client carries that age to any gateway. Else a gateway only knows of the writes
+// that it acked itself since its start, and a session has one key for each such gateway.
+func (c *clients) lastWrite(g *gateway, req *request) (minPosition, writeAge time.Duration) {
+	if req.opType.need != choice.Session {
 		return choice.LongPast, 0
 	}
-	key := q.session
+	key := req.session
 	if !c.sim.world.Reports.Carried {
-		key = q.session<<20 | uint64(g.index)<<8 | uint64(g.generation&0xff)
+		key = req.session<<20 | uint64(g.index)<<8 | uint64(g.generation&0xff)
 	}
 	at, ok := c.knownCommits[key]
 	if !ok {
@@ -220,90 +227,94 @@
 	return at, max(1, c.sim.now-at)
 }
 
-// front picks the instance: the one that is a client's own, or another once the front has noticed that it is dead.
-func (c *clients) chooseGateway(q *request) *gateway {
+// chooseGateway returns the home gateway of a request, or another one if the front end has noticed that it is down.
+func (c *clients) chooseGateway(req *request) *gateway {
 	all := c.sim.gateways
 	for i := range all {
-		g := all[(q.homeGateway+i)%len(all)]
+		g := all[(req.homeGateway+i)%len(all)]
 		if !g.down || c.sim.now-g.downAt < c.sim.world.Gateways.FrontKnows {
 			return g
 		}
 	}
-	return all[q.homeGateway]
+	return all[req.homeGateway]
 }
 
-// acked takes the answer to its client.
-func (c *clients) acked(t *gatewayOp, a *attempt) {
-	q := t.request
+// acked takes an ack to its client.
+func (c *clients) acked(op *gatewayOp, a *attempt) {
+	req := op.request
 	if a.opType.need == choice.Write {
-		at, session := a.committedAt, q.session
+		at, session := a.committedAt, req.session
 		key := session
 		if !c.sim.world.Reports.Carried {
-			key = session<<20 | uint64(t.gateway.index)<<8 | uint64(t.gateway.generation&0xff)
+			key = session<<20 | uint64(op.gateway.index)<<8 | uint64(op.gateway.generation&0xff)
 			c.knownCommits[key] = max(c.knownCommits[key], at)
 		} else {
 			c.sim.after(c.sim.world.Network.Client, func() { c.knownCommits[key] = max(c.knownCommits[key], at) })
 		}
 	}
 	c.sim.after(c.sim.withJitter(c.sim.world.Network.Client), func() {
-		if q.finished {
+		if req.finished {
 			return
 		}
-		late := c.sim.now > t.clientLeavesAt+2*c.sim.world.Network.Client
-		c.sim.result.opAcked(q, c.sim.now-q.askedAt, late)
-		c.finish(q)
+		tooLate := c.sim.now > op.clientLeavesAt+2*c.sim.world.Network.Client
+		c.sim.result.opAcked(req, c.sim.now-req.askedAt, tooLate)
+		c.finish(req)
 	})
 }
 
-// busy takes a busy reply to its client, who may come back.
-func (c *clients) busyReplied(t *gatewayOp, comeBack time.Duration) {
-	q := t.request
+// busyReplied takes a busy reply to its client, which may try again.
+func (c *clients) busyReplied(op *gatewayOp, retryAfter time.Duration) {
+	req := op.request
 	c.sim.result.Busy++
 	c.sim.after(c.sim.world.Network.Client, func() {
 		wait := time.Duration(0)
-		if q.honoursRetryAfter {
-			wait = min(comeBack, c.sim.world.Gateways.ComeBack)
+		if req.honoursRetryAfter {
+			wait = min(retryAfter, c.sim.world.Gateways.ComeBack)
 		}
-		c.retry(q, wait, true)
+		c.retry(req, wait, true)
 	})
 }
 
-// errored takes an error to its client, who repeats only what may run again.
-func (c *clients) errored(t *gatewayOp) {
-	q := t.request
+// errored takes an error to its client, which repeats only what may run again.
+func (c *clients) errored(op *gatewayOp) {
+	req := op.request
 	c.sim.result.Errored++
-	c.sim.after(c.sim.world.Network.Client, func() { c.retry(q, 0, c.mayRepeat(q)) })
+	c.sim.after(c.sim.world.Network.Client, func() { c.retry(req, 0, c.mayRepeat(req)) })
 }
 
-// lost tells a client that its gateway has died under its op.
-func (c *clients) gatewayLost(t *gatewayOp) {
-	q := t.request
-	c.sim.after(c.sim.world.Network.Client, func() { c.retry(q, 0, c.mayRepeat(q)) })
+// gatewayLost tells a client that the gateway that held its op has crashed.
+func (c *clients) gatewayLost(op *gatewayOp) {
+	req := op.request
+	c.sim.after(c.sim.world.Network.Client, func() { c.retry(req, 0, c.mayRepeat(req)) })
 }
 
-func (c *clients) mayRepeat(q *request) bool {
-	return q.opType.config.Effect == choice.Retryable || q.opType.config.Effect == choice.Tokened && q.opType.config.Scope == choice.ScopeAll
+// mayRepeat reports whether a client may repeat a request that may have run.
+func (c *clients) mayRepeat(req *request) bool {
+	return req.opType.config.Effect == choice.Retryable ||
+		req.opType.config.Effect == choice.Tokened && req.opType.config.Scope == choice.ScopeAll
 }
 
-// again tries once more, if the client does.
-func (c *clients) retry(q *request, wait time.Duration, harmless bool) {
-	if q.finished {
+// retry tries a request again after wait and the backoff, or gives it up if repeating it is not harmless or its client
+// tries no more.
+func (c *clients) retry(req *request, wait time.Duration, harmless bool) {
+	if req.finished {
 		return
 	}
-	if !harmless || q.tryCount > c.sim.world.Clients.Retries {
-		c.sim.result.opFailed(q)
-		c.finish(q)
+	if !harmless || req.tryCount > c.sim.world.Clients.Retries {
+		c.sim.result.opFailed(req)
+		c.finish(req)
 		return
 	}
 	c.sim.result.Retries++
 	c.sim.after(wait+c.sim.world.Clients.Backoff, func() {
-		if !q.finished {
-			c.try(q)
+		if !req.finished {
+			c.try(req)
 		}
 	})
 }
 
-func (c *clients) finish(q *request) {
-	q.finished = true
+// finish ends a request.
+func (c *clients) finish(req *request) {
+	req.finished = true
 	c.openRequests--
 }
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -9,35 +9,36 @@
 	"gorsewell/choice"
 )
 
-// Fault is one thing that goes wrong, for a time.
+// Fault is one fault that is injected into a run, for a time.
 type Fault struct {
 	Kind  string        `yaml:"kind"`
-	At    time.Duration `yaml:"at"`    // after the first op
-	For   time.Duration `yaml:"for"`   // 0: to the end
-	Share float64       `yaml:"share"` // of what it can strike; at least one
-	Count int           `yaml:"count"` // of what it can strike, where share says nothing
-	Of    string        `yaml:"of"`    // all, primaries or replicas
-	Zone  int           `yaml:"zone"`  // only there, counted from 1; 0: anywhere
-	Group int           `yaml:"group"` // only there, counted from 1; 0: anywhere
-	Size  float64       `yaml:"size"`  // how much; what that means depends on the kind
-	Back  time.Duration `yaml:"back"`  // until what was struck is there again, for kinds that say so
-	Every time.Duration `yaml:"every"` // strikes again and again, others each time; 0: once
-	How   string        `yaml:"how"`   // a variant, for kinds that have some
+	At    time.Duration `yaml:"at"`    // counted from the first op
+	For   time.Duration `yaml:"for"`   // how long it lasts; 0: to the end
+	Share float64       `yaml:"share"` // of the possible targets, rounded; at least one is struck
+	Count int           `yaml:"count"` // number of targets if Share is 0; at least one is struck
+	Of    string        `yaml:"of"`    // servers to strike: all, primaries or replicas
+	Zone  int           `yaml:"zone"`  // strikes only servers of this zone, counted from 1; 0: of any
+	Group int           `yaml:"group"` // strikes only servers of this group, counted from 1; 0: of any
+	Size  float64       `yaml:"size"`  // how strong it is; the meaning depends on the kind; 0: the default of the kind
+	Back  time.Duration `yaml:"back"`  // time until the targets are back, for kinds that say so
+	Every time.Duration `yaml:"every"` // period after which it strikes again, with targets drawn anew; 0: once
+	How   string        `yaml:"how"`   // variant, for kinds that have variants
 
-	order int
-	rng   *rand.Rand
+	order int        // among the faults of the run
+	rng   *rand.Rand // its own, so that no other fault changes what it does
 	kind  *faultKind
 }
 
-// kind is what a fault does.
+// faultKind is what a kind of fault does.
 type faultKind struct {
 	doc         string
-	defaultSize float64 // where the file says nothing
+	defaultSize float64 // of Fault.Size
 	target      targetKind
-	begin       func(f *Fault, sim *simulation, servers []*server, gateways []*gateway) (end func())
+	// begin starts the fault at its targets. end stops it.
+	begin func(f *Fault, sim *simulation, servers []*server, gateways []*gateway) (end func())
 }
 
-// strikes is what a fault is aimed at.
+// targetKind says what a fault strikes.
 type targetKind uint8
 
 const (
@@ -47,10 +48,12 @@
 	targetBoth
 )
 
+// faultKinds holds the kinds of faults by name.
 var faultKinds = map[string]*faultKind{}
 
 func init() {
-	each := func(do func(f *Fault, s *server) func()) func(*Fault, *simulation, []*server, []*gateway) func() {
+	// forEachServer makes a begin function from one that strikes a single server and returns what undoes it.
+	forEachServer := func(do func(f *Fault, s *server) func()) func(*Fault, *simulation, []*server, []*gateway) func() {
 		return func(f *Fault, _ *simulation, servers []*server, _ []*gateway) func() {
 			var ends []func()
 			for _, s := range servers {
@@ -63,31 +66,39 @@
 			}
 		}
 	}
-	faultKinds["crash"] = &faultKind{doc: "processes end; they start again, cold, at the fault's end", target: targetServers,
-		begin: each(func(f *Fault, s *server) func() { s.crash(serverCrashed); return s.start })}
-	faultKinds["vanish"] = &faultKind{doc: "machines fall silent; they are back, cold, at the fault's end", target: targetServers,
-		begin: each(func(f *Fault, s *server) func() { s.crash(serverVanished); return s.start })}
-	faultKinds["hang"] = &faultKind{doc: "servers take ops and answer none until the fault's end", target: targetServers,
-		begin: each(func(f *Fault, s *server) func() { s.setHung(true); return func() { s.setHung(false) } })}
+	faultKinds["crash"] = &faultKind{doc: "server processes end; they start again, cold, at the end of the fault",
+		target: targetServers,
+		begin:  forEachServer(func(f *Fault, s *server) func() { s.crash(serverCrashed); return s.start })}
+	faultKinds["vanish"] = &faultKind{doc: "machines stop answering; they are back, cold, at the end of the fault",
+		target: targetServers,
+		begin:  forEachServer(func(f *Fault, s *server) func() { s.crash(serverVanished); return s.start })}
+	faultKinds["hang"] = &faultKind{doc: "servers accept ops and answer none until the end of the fault",
+		target: targetServers,
+		begin:  forEachServer(func(f *Fault, s *server) func() { s.setHung(true); return func() { s.setHung(false) } })}
 	faultKinds["slow"] = &faultKind{doc: "all work takes size times as long", defaultSize: 5, target: targetServers,
-		begin: each(func(f *Fault, s *server) func() { s.slowdown *= f.Size; return func() { s.slowdown /= f.Size } })}
-	faultKinds["error"] = &faultKind{doc: "a share of ops, size, ends with an error", defaultSize: 0.6, target: targetServers,
-		begin: each(func(f *Fault, s *server) func() { s.errorShare = f.Size; return func() { s.errorShare = 0 } })}
-	faultKinds["refuse"] = &faultKind{doc: "servers turn all ops away as if they were full", target: targetServers,
-		begin: each(func(f *Fault, s *server) func() { s.refusing = true; return func() { s.refusing = false } })}
-	faultKinds["slow_apply"] = &faultKind{doc: "replicas apply the log size times as slowly", defaultSize: 8, target: targetServers,
-		begin: each(func(f *Fault, s *server) func() {
+		begin: forEachServer(func(f *Fault, s *server) func() { s.slowdown *= f.Size; return func() { s.slowdown /= f.Size } })}
+	faultKinds["error"] = &faultKind{doc: "a share size of all ops ends in an error",
+		defaultSize: 0.6, target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() { s.errorShare = f.Size; return func() { s.errorShare = 0 } })}
+	faultKinds["refuse"] = &faultKind{doc: "servers refuse all ops as if they were full", target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() { s.refusing = true; return func() { s.refusing = false } })}
+	faultKinds["slow_apply"] = &faultKind{doc: "replicas take size times as long to apply the log",
+		defaultSize: 8, target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() {
 			s.applySlowdown *= f.Size
 			return func() { s.applySlowdown /= f.Size }
 		})}
-	faultKinds["lying_position"] = &faultKind{doc: "servers tell a position that is size seconds too far ahead; reads from them may be stale", defaultSize: 1,
-		target: targetServers, begin: each(func(f *Fault, s *server) func() {
+	faultKinds["lying_position"] = &faultKind{doc: "servers report a position that is size seconds ahead of the true one; reads from them may be stale",
+		defaultSize: 1,
+		target:      targetServers, begin: forEachServer(func(f *Fault, s *server) func() {
 			s.positionLead = time.Duration(f.Size * float64(time.Second))
 			return func() { s.positionLead = 0 }
 		})}
-	faultKinds["probe_fail"] = &faultKind{doc: "a share of probes, size, fails while ops are served", defaultSize: 1, target: targetServers,
-		begin: each(func(f *Fault, s *server) func() { s.probeErrorShare = f.Size; return func() { s.probeErrorShare = 0 } })}
-	faultKinds["squeeze"] = &faultKind{doc: "servers take size connections for each gateway over all servers, and close idle ones", defaultSize: 3, target: targetServers,
+	faultKinds["probe_fail"] = &faultKind{doc: "a share size of all probes fails while ops are served",
+		defaultSize: 1, target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() { s.probeErrorShare = f.Size; return func() { s.probeErrorShare = 0 } })}
+	faultKinds["squeeze"] = &faultKind{doc: "servers accept only their share of size connections for each gateway, plus one for each core, and close unused ones",
+		defaultSize: 3, target: targetServers,
 		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
 				s.connectionLimit = max(1, int(f.Size*float64(len(sim.gateways))/float64(len(sim.servers)))) + s.cores
@@ -99,11 +110,15 @@
 				}
 			}
 		}}
-	faultKinds["neighbour"] = &faultKind{doc: "another program takes a share of the machine, size, on and off", defaultSize: 0.5, target: targetServers, begin: slowByNeighbour}
-	faultKinds["drain"] = &faultKind{doc: "servers drain and end; successors under new ids start cold after back", target: targetServers, begin: replaceServers}
-	faultKinds["deploy"] = &faultKind{doc: "a rolling deploy over the fault's time: servers drain one after another, a share of size at a time", defaultSize: 0.1,
+	faultKinds["neighbour"] = &faultKind{doc: "another program takes a share size of the machine, on and off",
+		defaultSize: 0.5, target: targetServers, begin: slowByNeighbour}
+	faultKinds["drain"] = &faultKind{doc: "servers drain and end; replacements under new ids start, cold, after back",
 		target: targetServers, begin: replaceServers}
-	faultKinds["mass_restart"] = &faultKind{doc: "servers end at once and are back, cold, after back", target: targetServers,
+	faultKinds["deploy"] = &faultKind{doc: "a rolling deploy over the time of the fault: servers drain and are replaced, a share size at a time",
+		defaultSize: 0.1,
+		target:      targetServers, begin: replaceServers}
+	faultKinds["mass_restart"] = &faultKind{doc: "servers end all at once and are back, cold, after back",
+		target: targetServers,
 		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
 				s.crash(serverCrashed)
@@ -111,24 +126,26 @@
 			}
 			return func() {}
 		}}
-	faultKinds["burst"] = &faultKind{doc: "ops come in at size times the rate", defaultSize: 1.8, target: targetNone,
+	faultKinds["burst"] = &faultKind{doc: "ops come in at size times the usual rate",
+		defaultSize: 1.8, target: targetNone,
 		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
 			sim.clients.bursts = append(sim.clients.bursts, f)
 			return func() {
 				sim.clients.bursts = slices.DeleteFunc(sim.clients.bursts, func(b *Fault) bool { return b == f })
 			}
 		}}
-	faultKinds["list_down"] = &faultKind{doc: "the list answers nobody and ends all watches", target: targetNone,
+	faultKinds["list_down"] = &faultKind{doc: "discovery answers no request and ends all watches", target: targetNone,
 		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
 			sim.discovery.setDown(true)
 			return func() { sim.discovery.setDown(false) }
 		}}
-	faultKinds["list_silent"] = &faultKind{doc: "watches that are open hear nothing more; each instance gives its own up after a while", target: targetNone,
+	faultKinds["list_silent"] = &faultKind{doc: "open watches receive nothing more; each instance gives up its own after a few seconds",
+		target: targetNone,
 		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
 			sim.discovery.silenceWatches()
 			return func() {}
 		}}
-	faultKinds["list_frozen"] = &faultKind{doc: "the list goes on telling what it knew", target: targetNone,
+	faultKinds["list_frozen"] = &faultKind{doc: "discovery does not update its list", target: targetNone,
 		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
 			sim.discovery.frozen = true
 			return func() {
@@ -138,9 +155,9 @@
 				}
 			}
 		}}
-	faultKinds["list_wrong"] = &faultKind{doc: "the list calls servers gone that run", target: targetServers,
+	faultKinds["list_wrong"] = &faultKind{doc: "discovery lists running servers as gone", target: targetServers,
 		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
-			tell := func() {
+			push := func() {
 				for _, s := range servers {
 					if e := sim.discovery.entries[s]; e != nil {
 						sim.discovery.push([]*listEntry{e})
@@ -150,15 +167,16 @@
 			for _, s := range servers {
 				sim.discovery.falseStates[s] = choice.Gone
 			}
-			tell()
+			push()
 			return func() {
 				for _, s := range servers {
 					delete(sim.discovery.falseStates, s)
 				}
-				tell()
+				push()
 			}
 		}}
-	faultKinds["gateway_crash"] = &faultKind{doc: "instances end at once and are back after back, with nothing but their list", target: targetGateways,
+	faultKinds["gateway_crash"] = &faultKind{doc: "instances crash and are back after back, with no state but the cached server list",
+		target: targetGateways,
 		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
 				g.crash()
@@ -170,7 +188,7 @@
 			}
 			return func() {}
 		}}
-	faultKinds["gateway_pause"] = &faultKind{doc: "instances stand still for back", target: targetGateways,
+	faultKinds["gateway_pause"] = &faultKind{doc: "instances are suspended for back", target: targetGateways,
 		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
 				if !g.down {
@@ -179,7 +197,8 @@
 			}
 			return func() {}
 		}}
-	faultKinds["gateway_roll"] = &faultKind{doc: "instances end one after another over the fault's time and are back after back", target: targetGateways,
+	faultKinds["gateway_roll"] = &faultKind{doc: "instances crash one after another over the time of the fault, and each is back after back",
+		target: targetGateways,
 		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for i, g := range gateways {
 				sim.after(time.Duration(int64(f.For)*int64(i)/int64(len(gateways))), func() {
@@ -193,42 +212,45 @@
 			}
 			return func() {}
 		}}
-	faultKinds["one_sided"] = &faultKind{doc: "a share of the instances, size, cannot reach the servers struck", defaultSize: 0.5, target: targetServers,
+	faultKinds["one_sided"] = &faultKind{doc: "a share size of the instances and the struck servers cannot reach each other; how: sends or answers, then only these are lost",
+		defaultSize: 0.5, target: targetServers,
 		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
-			c := &networkCut{gateways: map[int]bool{}, servers: map[int]bool{}, toServer: f.How != "answers", toInstance: f.How != "sends"}
+			cut := &networkCut{gateways: map[int]bool{}, servers: map[int]bool{}, toServer: f.How != "answers", toInstance: f.How != "sends"}
 			for _, i := range f.rng.Perm(len(sim.gateways))[:max(1, int(f.Size*float64(len(sim.gateways))))] {
-				c.gateways[i] = true
+				cut.gateways[i] = true
 			}
 			for _, s := range servers {
-				c.servers[int(s.id)] = true
+				cut.servers[int(s.id)] = true
 			}
-			return sim.addCut(c)
+			return sim.addCut(cut)
 		}}
-	faultKinds["partition"] = &faultKind{doc: "a share of the instances, size, and the others do not hear each other; how: one_way, then only the others do not hear it",
+	faultKinds["partition"] = &faultKind{doc: "a share size of the instances and the others cannot gossip with each other; how: one_way, then only what the others send arrives",
 		defaultSize: 0.5, target: targetNone, begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
-			in, out := map[int]bool{}, map[int]bool{}
+			sideA, sideB := map[int]bool{}, map[int]bool{}
 			for i, g := range f.rng.Perm(len(sim.gateways)) {
 				if i < int(f.Size*float64(len(sim.gateways))) {
-					in[g] = true
+					sideA[g] = true
 				} else {
-					out[g] = true
+					sideB[g] = true
 				}
 			}
-			end := sim.addCut(&networkCut{betweenGateways: true, fromGateways: in, toGateways: out})
-			back := func() {}
+			end := sim.addCut(&networkCut{betweenGateways: true, fromGateways: sideA, toGateways: sideB})
+			endOther := func() {}
 			if f.How != "one_way" {
-				back = sim.addCut(&networkCut{betweenGateways: true, fromGateways: out, toGateways: in})
+				endOther = sim.addCut(&networkCut{betweenGateways: true, fromGateways: sideB, toGateways: sideA})
 			}
-			return func() { end(); back() }
+			return func() { end(); endOther() }
 		}}
-	faultKinds["network"] = &faultKind{doc: "a share of datagrams, size, is lost; as many come twice and as many late", defaultSize: 0.1, target: targetNone,
+	faultKinds["network"] = &faultKind{doc: "a share size of all datagrams is lost; as many arrive twice and as many late",
+		defaultSize: 0.1, target: targetNone,
 		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
-			n := &sim.world.Network
-			old := *n
-			n.Loss, n.Twice, n.Reorder = f.Size, f.Size, f.Size
-			return func() { n.Loss, n.Twice, n.Reorder = old.Loss, old.Twice, old.Reorder }
+			network := &sim.world.Network
+			before := *network
+			network.Loss, network.Twice, network.Reorder = f.Size, f.Size, f.Size
+			return func() { network.Loss, network.Twice, network.Reorder = before.Loss, before.Twice, before.Reorder }
 		}}
-	faultKinds["liar"] = &faultKind{doc: "instances lie in the gossip; how: primaries, all, accuse, replay, future, contradict, praise or mixed", target: targetGateways,
+	faultKinds["liar"] = &faultKind{doc: "instances send false gossip; how: primaries, all, accuse, replay, future, contradict, praise or mixed",
+		target: targetGateways,
 		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			if sim.gossipNet == nil {
 				return func() {}
@@ -237,60 +259,61 @@
 		}}
 }
 
-// FaultKinds lists the kinds by name, with what each does.
-func FaultKinds() (names []string, docs map[string]string) {
-	docs = map[string]string{}
+// FaultKinds returns the names of the kinds of faults, sorted, and a description of each.
+func FaultKinds() (names []string, descriptions map[string]string) {
+	descriptions = map[string]string{}
 	for name, k := range faultKinds {
 		names = append(names, name)
-		docs[name] = k.doc
+		descriptions[name] = k.doc
 	}
 	slices.Sort(names)
-	return names, docs
+	return names, descriptions
 }
 
-// cut cuts a way until the returned function is called.
-func (sim *simulation) addCut(c *networkCut) func() {
-	sim.cuts = append(sim.cuts, c)
+// addCut cuts part of the network until the returned function is called.
+func (sim *simulation) addCut(cut *networkCut) func() {
+	sim.cuts = append(sim.cuts, cut)
 	return func() {
-		sim.cuts = slices.DeleteFunc(sim.cuts, func(x *networkCut) bool { return x == c })
+		sim.cuts = slices.DeleteFunc(sim.cuts, func(x *networkCut) bool { return x == cut })
 	}
 }
 
-// closeIdle closes all connections to a server that are not in use.
+// closeIdleConnections closes the unused connections of all gateways to a server.
 func (sim *simulation) closeIdleConnections(s *server) {
 	for _, g := range sim.gateways {
 		if int(s.id) <= len(g.pools) && g.pools[s.id-1] != nil && g.pools[s.id-1].generation == s.generation {
-			l := g.pools[s.id-1]
-			s.openConnections -= len(l.idleSince)
-			l.idleSince = nil
+			pool := g.pools[s.id-1]
+			s.openConnections -= len(pool.idleSince)
+			pool.idleSince = nil
 		}
 	}
 }
 
-// neighbour slows machines down, on and off.
+// slowByNeighbour slows machines down, on and off, as another program on the same machine would.
 func slowByNeighbour(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
-	over := false
+	ended := false
 	factor := 1 / (1 - min(0.95, f.Size))
 	for _, s := range servers {
-		on := false
-		var turn func()
-		turn = func() {
-			if on {
+		slowed := false
+		var toggle func()
+		toggle = func() {
+			if slowed {
 				s.slowdown /= factor
 			}
-			if on = !on && !over; on {
+			if slowed = !slowed && !ended; slowed {
 				s.slowdown *= factor
 			}
-			if !over {
-				sim.after(time.Duration((0.5+f.rng.Float64())*float64(2*time.Second)), turn)
+			if !ended {
+				sim.after(time.Duration((0.5+f.rng.Float64())*float64(2*time.Second)), toggle)
 			}
 		}
-		turn()
+		toggle()
 	}
-	return func() { over = true }
+	return func() { ended = true }
 }
 
-// roll replaces servers, so many at a time, over the fault's time.
+// replaceServers drains servers and replaces them, spread over the fault's time. A deploy replaces a share Size of
+// them at a time.
 func replaceServers(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 	atOnce := len(servers)
 	if f.Kind == "deploy" {
@@ -313,11 +336,11 @@
 	return func() {}
 }
 
-// ready checks a fault and gives it its own chance.
+// prepare checks the kind of a fault and gives the fault its defaults and its own source of random numbers.
 func (f *Fault) prepare(sim *simulation, order int) error {
 	f.kind = faultKinds[f.Kind]
 	if f.kind == nil {
-		return fmt.Errorf("faults[%d].kind: %q is no fault", order, f.Kind)
+		return fmt.Errorf("faults[%d].kind: unknown kind of fault %q", order, f.Kind)
 	}
 	if f.Size == 0 {
 		f.Size = f.kind.defaultSize
@@ -327,7 +350,7 @@
 	return nil
 }
 
-// plan lets the fault strike at its time, counted from the first op.
+// schedule lets the fault strike at its time, which counts from the first op at start.
 func (f *Fault) schedule(sim *simulation, start time.Duration) {
 	var strike func()
 	strike = func() {
@@ -351,44 +374,45 @@
 	sim.at(start+f.At, strike)
 }
 
+// targetNames lists what is struck, for an Event.
 func targetNames(servers []*server, gateways []*gateway) (s string) {
-	const most = 8
+	const maxNames = 8
 	for i, x := range servers {
-		if i == most {
-			return fmt.Sprintf("%s and %d more", s, len(servers)-most)
+		if i == maxNames {
+			return fmt.Sprintf("%s and %d more", s, len(servers)-maxNames)
 		}
 		s += fmt.Sprintf(" server %d", x.id)
 	}
 	for i, x := range gateways {
-		if i == most {
-			return fmt.Sprintf("%s and %d more", s, len(gateways)-most)
+		if i == maxNames {
+			return fmt.Sprintf("%s and %d more", s, len(gateways)-maxNames)
 		}
 		s += fmt.Sprintf(" gateway %d", x.index)
 	}
 	return s
 }
 
-// targets draws what is struck.
+// pickTargets draws what is struck.
 func (f *Fault) pickTargets(sim *simulation) (servers []*server, gateways []*gateway) {
-	amount := func(of int) int {
-		n := f.Count
+	amount := func(available int) int {
+		count := f.Count
 		if f.Share > 0 {
-			n = int(f.Share*float64(of) + 0.5)
+			count = int(f.Share*float64(available) + 0.5)
 		}
-		return min(of, max(1, n))
+		return min(available, max(1, count))
 	}
 	if f.kind.target == targetServers || f.kind.target == targetBoth {
-		var fit []*server
+		var candidates []*server
 		for _, s := range sim.servers {
 			if !s.isUp() || s.draining || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.group.index != f.Group-1 ||
 				f.Of == "primaries" && !s.isPrimary() || f.Of == "replicas" && s.isPrimary() {
 				continue
 			}
-			fit = append(fit, s)
+			candidates = append(candidates, s)
 		}
-		if len(fit) > 0 {
-			for _, i := range f.rng.Perm(len(fit))[:amount(len(fit))] {
-				servers = append(servers, fit[i])
+		if len(candidates) > 0 {
+			for _, i := range f.rng.Perm(len(candidates))[:amount(len(candidates))] {
+				servers = append(servers, candidates[i])
 			}
 		}
 	}
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -220,8 +220,10 @@
 	if op == nil {
 		return
 	}
-	a := &attempt{op: op, request: op.request, opType: op.request.opType, number: op.sendCount, server: s, serverGeneration: s.generation, sentAt: g.sim.now}
-	a.work = op.request.work * lognormal(draw(g.sim.seed, 0xa77e, op.request.id, uint64(op.tryNumber), uint64(op.sendCount)), op.request.opType.Noise)
+	a := &attempt{op: op, request: op.request, opType: op.request.opType, number: op.sendCount, server: s,
+		serverGeneration: s.generation, sentAt: g.sim.now}
+	a.work = op.request.work * lognormal(draw(g.sim.seed, 0xa77e, op.request.id, uint64(op.tryNumber), uint64(op.sendCount)),
+		op.request.opType.Noise)
 	a.minPosition = choice.LongPast
 	switch a.opType.need {
 	case choice.Session:
@@ -540,8 +542,8 @@
 		g.lastListAt = g.sim.now
 		g.listBuffer = g.listBuffer[:0]
 		for _, e := range entries {
-			listed := choice.Listed{ID: e.server.id, Group: uint16(e.server.group.index), Zone: uint8(e.server.zone), Kind: e.server.kind, Primary: e.primary,
-				State: e.state, Started: choice.LongPast, Weight: float32(e.server.cores)}
+			listed := choice.Listed{ID: e.server.id, Group: uint16(e.server.group.index), Zone: uint8(e.server.zone),
+				Kind: e.server.kind, Primary: e.primary, State: e.state, Started: choice.LongPast, Weight: float32(e.server.cores)}
 			if e.startedAt > longAgo {
 				listed.Started = e.startedAt - g.clockBase
 				g.knownStarts[e.server] = e.startedAt
--- a/internal/emulator/gossips.go
+++ b/internal/emulator/gossips.go
@@ -10,72 +10,78 @@
 	"gorsewell/internal/gossip"
 )
 
-// gossips is the network on which instances gossip, and what it costs.
+// gossipNetwork is the network on which the instances gossip. It counts what gossip costs.
 type gossipNetwork struct {
 	sim              *simulation
 	rng              *rand.Rand
-	instances        []*instance // by gateway: the present run
-	sentBytes        int64       // bytes
-	worstSecondBytes int64       // bytes in the worst second of any instance
-	falselyDead      int64
-	endedCounts      gossip.Counts // of runs that have ended
-	countFrom        time.Duration // bytes count from here
+	instances        []*instance   // by gateway index: the present one of each
+	sentBytes        int64         // by all instances
+	worstSecondBytes int64         // most bytes that an instance sent in a second
+	falselyDead      int64         // see GossipResult.False
+	endedCounts      gossip.Counts // of nodes that have ended
+	countFrom        time.Duration // bytes sent before are not counted
 }
 
-// instance is a gateway's part in the gossip; it is its node's Host.
+// instance is a gateway's gossip node and the node's Host.
 type instance struct {
 	*gossip.Node
 	network            *gossipNetwork
 	gateway            *gateway
-	generation         int // of the gateway
-	clockBase          time.Duration
+	generation         int           // of the gateway to which it belongs
+	clockBase          time.Duration // virtual time at which its clock shows 0
 	name               string
 	key                gossip.KeyID
-	runID              uint64
-	lastCounter        uint64
-	wakeCount          int
-	currentSecond      int64 // for the bytes of the present one
-	currentSecondBytes int64
-	liar               *liar
+	runID              uint64 // drawn anew at each start
+	lastCounter        uint64 // of its datagrams
+	wakeCount          int    // calls of Wake; only the last one counts
+	currentSecond      int64  // in which it last sent
+	currentSecondBytes int64  // sent in currentSecond
+	liar               *liar  // nil unless it lies
 }
 
 func newGossipNetwork(sim *simulation) *gossipNetwork {
 	return &gossipNetwork{sim: sim, rng: rand.New(rand.NewPCG(sim.seed, 4)), instances: make([]*instance, sim.world.Gateways.Count)}
 }
 
+// address returns the address of the instance of a gateway.
 func address(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946)
 }
 
+// gatewayIndex returns the index of the gateway whose instance has an address.
 func gatewayIndex(a netip.AddrPort) int {
 	b := a.Addr().As4()
 	return int(b[1])<<16 | int(b[2])<<8 | int(b[3])
 }
 
-// setup is what an instance's node is told.
-func (gs *gossipNetwork) config(i int, life int) gossip.Config {
-	w := &gs.sim.world.Gossip
-	return gossip.Config{Name: fmt.Sprintf("g%04d", i), Key: gossip.KeyID{byte(i >> 8), byte(i), 1}, Run: mix(gs.sim.seed ^ uint64(i)<<16 ^ uint64(life)),
-		Seed: mix(gs.sim.seed + uint64(i)), Addr: address(i), Seeds: []netip.AddrPort{address(0), address(min(1, gs.sim.world.Gateways.Count-1))},
-		ProbeEvery: w.ProbeEvery, ProbeTimeout: w.ProbeTimeout, SuspectFor: w.SuspectFor, TellEvery: w.TellEvery, SyncEvery: w.SyncEvery,
-		RumourLife: w.RumourLife, Members: w.Members, Rumours: w.Rumours, RumoursPerObserver: w.RumoursPerObserver,
-		ObserversPerServer: w.ObserversPerServer, Datagram: int(w.Datagram), DatagramsPerTell: w.DatagramsPerTell, BytesPerSecond: int(w.BytesPerSecond)}
+// config returns the settings of a node.
+func (gs *gossipNetwork) config(index int, generation int) gossip.Config {
+	settings := &gs.sim.world.Gossip
+	return gossip.Config{Name: fmt.Sprintf("g%04d", index), Key: gossip.KeyID{byte(index >> 8), byte(index), 1},
+		Run: mix(gs.sim.seed ^ uint64(index)<<16 ^ uint64(generation)), Seed: mix(gs.sim.seed + uint64(index)),
+		Addr: address(index), Seeds: []netip.AddrPort{address(0), address(min(1, gs.sim.world.Gateways.Count-1))},
+		ProbeEvery: settings.ProbeEvery, ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor,
+		TellEvery: settings.TellEvery, SyncEvery: settings.SyncEvery, RumourLife: settings.RumourLife,
+		Members: settings.Members, Rumours: settings.Rumours, RumoursPerObserver: settings.RumoursPerObserver,
+		ObserversPerServer: settings.ObserversPerServer, Datagram: int(settings.Datagram), DatagramsPerTell: settings.DatagramsPerTell,
+		BytesPerSecond: int(settings.BytesPerSecond)}
 }
 
-// start makes the node of a gateway's run. That of the first run has begun before the day does.
+// start returns the node of a gateway's present generation, which it creates if there is none yet.
 func (gs *gossipNetwork) start(g *gateway) *instance {
-	i := g.index
-	if old := gs.instances[i]; old != nil {
-		if old.generation == g.generation {
-			return old
+	index := g.index
+	if previous := gs.instances[index]; previous != nil {
+		if previous.generation == g.generation {
+			return previous
 		}
-		gs.endedCounts = addCounts(gs.endedCounts, old.Counts())
-	}
-	s := gs.config(i, g.generation)
-	n := &instance{network: gs, gateway: g, generation: g.generation, clockBase: gs.sim.now, name: s.Name, key: s.Key, runID: s.Run}
-	n.Node = gossip.New(n, s)
-	gs.instances[i] = n
-	gs.sim.after(time.Duration(draw(gs.sim.seed, 0x90551, uint64(i), uint64(g.generation))*float64(time.Second)), func() {
+		gs.endedCounts = addCounts(gs.endedCounts, previous.Counts())
+	}
+	config := gs.config(index, g.generation)
+	n := &instance{network: gs, gateway: g, generation: g.generation, clockBase: gs.sim.now, name: config.Name,
+		key: config.Key, runID: config.Run}
+	n.Node = gossip.New(n, config)
+	gs.instances[index] = n
+	gs.sim.after(time.Duration(draw(gs.sim.seed, 0x90551, uint64(index), uint64(g.generation))*float64(time.Second)), func() {
 		g.runIfAlive(n.generation, func() { n.Node.Start(n.localTime()) })
 	})
 	return n
@@ -83,22 +89,23 @@
 
 func (n *instance) localTime() time.Duration { return n.network.sim.now - n.clockBase }
 
-// later does something at the instance, if its run goes on until then.
+// schedule calls f at the instance after a time, unless its gateway has ended by then.
 func (n *instance) schedule(after time.Duration, f func()) {
 	n.network.sim.after(after, func() { n.gateway.runIfAlive(n.generation, f) })
 }
 
-// way is drawn apart from the ways of ops, which are to be the same whether instances gossip or not.
+// delay draws the time that a datagram takes. It draws from a source of its own, so that the delays of ops are the
+// same with and without gossip.
 func (n *instance) delay(to *instance) time.Duration {
-	net := &n.network.sim.world.Network
-	d := net.Within
+	network := &n.network.sim.world.Network
+	d := network.Within
 	if n.gateway.zone != to.gateway.zone {
-		d = net.Between
+		d = network.Between
 	}
-	return d + time.Duration(float64(d)*net.Jitter*n.network.rng.ExpFloat64())
+	return d + time.Duration(float64(d)*network.Jitter*n.network.rng.ExpFloat64())
 }
 
-// charge counts bytes.
+// countBytes counts bytes sent. The worst second leaves out liars.
 func (n *instance) countBytes(bytes int) {
 	if n.network.sim.now < n.network.countFrom {
 		return
@@ -112,53 +119,56 @@
 	}
 }
 
-// Datagram implements gossip.Host, as do the methods below.
+// Datagram implements gossip.Host, as do the exported methods below.
 func (n *instance) Datagram(to netip.AddrPort, _ gossip.KeyID, m *gossip.Message) {
 	n.countBytes(m.Bytes())
 	n.transmit(to, m)
 }
 
+// transmit carries a datagram to another instance, with the network's faults.
 func (n *instance) transmit(to netip.AddrPort, m *gossip.Message) {
-	gs := n.network
+	network := n.network
 	n.lastCounter++
 	d := gossip.Datagram{From: n.name, Key: n.key, Run: n.runID, Counter: n.lastCounter, Message: m}
-	net := &gs.sim.world.Network
-	i := gatewayIndex(to)
-	if i >= len(gs.instances) || gs.instances[i] == nil || !gs.sim.gossipReaches(n.gateway.index, i) || net.Loss > 0 && gs.rng.Float64() < net.Loss {
+	settings := &network.sim.world.Network
+	index := gatewayIndex(to)
+	if index >= len(network.instances) || network.instances[index] == nil ||
+		!network.sim.gossipReaches(n.gateway.index, index) || settings.Loss > 0 && network.rng.Float64() < settings.Loss {
 		return
 	}
-	x := gs.instances[i]
-	way := n.delay(x)
-	if net.Reorder > 0 && gs.rng.Float64() < net.Reorder {
-		way *= 10
+	receiver := network.instances[index]
+	delay := n.delay(receiver)
+	if settings.Reorder > 0 && network.rng.Float64() < settings.Reorder {
+		delay *= 10
 	}
-	take := func() {
-		if x.liar != nil {
-			x.liar.keepRumours(m)
+	receive := func() {
+		if receiver.liar != nil {
+			receiver.liar.keepRumours(m)
 		}
-		x.Received(x.localTime(), d)
+		receiver.Received(receiver.localTime(), d)
 	}
-	x.schedule(way, take)
-	if net.Twice > 0 && gs.rng.Float64() < net.Twice {
-		x.schedule(3*way, take)
+	receiver.schedule(delay, receive)
+	if settings.Twice > 0 && network.rng.Float64() < settings.Twice {
+		receiver.schedule(3*delay, receive)
 	}
 }
 
 func (n *instance) Exchange(with netip.AddrPort, d *gossip.Digest) {
-	gs, i := n.network, gatewayIndex(with)
+	network, index := n.network, gatewayIndex(with)
 	n.countBytes(d.Bytes())
-	if i >= len(gs.instances) || gs.instances[i] == nil || gs.instances[i].gateway.down || !gs.sim.gossipReaches(n.gateway.index, i) || !gs.sim.gossipReaches(i, n.gateway.index) {
+	if index >= len(network.instances) || network.instances[index] == nil || network.instances[index].gateway.down ||
+		!network.sim.gossipReaches(n.gateway.index, index) || !network.sim.gossipReaches(index, n.gateway.index) {
 		n.schedule(time.Second, func() { n.ExchangeFailed(n.localTime(), with) })
 		return
 	}
-	x := gs.instances[i]
-	x.schedule(2*n.delay(x), func() {
-		items := x.ExchangeRequested(x.localTime(), d, address(n.gateway.index).Addr())
-		x.countBytes(items.Bytes())
-		n.schedule(n.delay(x), func() {
-			if give := n.ExchangeAnswered(n.localTime(), items); give != nil {
-				n.countBytes(give.Bytes())
-				x.schedule(n.delay(x), func() { x.ExchangeCompleted(x.localTime(), give) })
+	partner := network.instances[index]
+	partner.schedule(2*n.delay(partner), func() {
+		items := partner.ExchangeRequested(partner.localTime(), d, address(n.gateway.index).Addr())
+		partner.countBytes(items.Bytes())
+		n.schedule(n.delay(partner), func() {
+			if missing := n.ExchangeAnswered(n.localTime(), items); missing != nil {
+				n.countBytes(missing.Bytes())
+				partner.schedule(n.delay(partner), func() { partner.ExchangeCompleted(partner.localTime(), missing) })
 			}
 		})
 	})
@@ -166,11 +176,11 @@
 
 func (n *instance) Wake(at time.Duration) {
 	n.wakeCount++
-	wake := n.wakeCount
+	count := n.wakeCount
 	n.network.sim.at(at+n.clockBase, func() {
-		if n.wakeCount == wake {
+		if n.wakeCount == count {
 			n.gateway.runIfAlive(n.generation, func() {
-				if n.wakeCount == wake {
+				if n.wakeCount == count {
 					n.Timer(n.localTime())
 				}
 			})
@@ -185,20 +195,21 @@
 }
 
 func (n *instance) Log(event, name string) {
-	gs := n.network
+	network := n.network
 	if event != "member_dead" {
 		return
 	}
-	var i int
-	if _, err := fmt.Sscanf(name, "g%d", &i); err != nil || i >= len(gs.instances) {
+	var index int
+	if _, err := fmt.Sscanf(name, "g%d", &index); err != nil || index >= len(network.instances) {
 		return
 	}
-	if !gs.sim.gateways[i].down && gs.sim.gossipReaches(i, n.gateway.index) && gs.sim.gossipReaches(n.gateway.index, i) {
-		gs.falselyDead++
+	if !network.sim.gateways[index].down && network.sim.gossipReaches(index, n.gateway.index) &&
+		network.sim.gossipReaches(n.gateway.index, index) {
+		network.falselyDead++
 	}
 }
 
-// trouble takes what the gateway's own module has seen.
+// reportTrouble passes on what the gateway's decision module has seen itself.
 func (n *instance) reportTrouble(server uint32, t choice.Trouble) {
 	if t == choice.NoTrouble {
 		n.Recovered(n.localTime(), uint64(server))
@@ -208,10 +219,12 @@
 	n.ReportSymptom(n.localTime(), uint64(server), s, s.Strength())
 }
 
+// opAcked passes on that a server has acked an op in time.
 func (n *instance) opAcked(s *server, sentAt time.Duration) {
 	n.Acked(n.localTime(), uint64(s.id), sentAt-n.clockBase)
 }
 
+// result returns the totals of the run, for rates since start.
 func (gs *gossipNetwork) result(start time.Duration) *GossipResult {
 	res := &GossipResult{False: gs.falselyDead, Counts: gs.endedCounts}
 	for _, n := range gs.instances {
--- a/internal/emulator/loop.go
+++ b/internal/emulator/loop.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// loop is the virtual clock: what is due is done in the order of its time, and of two things at one time the one planned
-// first. Nothing else moves time, so a run is the same on any machine.
+// eventLoop is the virtual clock. It handles scheduled events in the order of their times, and those of one time in
+// the order in which they were scheduled. Nothing else advances the time, so a run is the same on any machine.
 type eventLoop struct {
 	now          time.Duration
 	lastSequence uint64
-	heap         []scheduledEvent // each before its four children
-	steps        int64
+	heap         []scheduledEvent // a heap in which each event comes before its four children
+	steps        int64            // events handled
 }
 
+// scheduledEvent is an event that is scheduled for a time.
 type scheduledEvent struct {
 	at       time.Duration
-	sequence uint64
+	sequence uint64 // number in the order of scheduling
 	do       func()
 }
 
@@ -24,27 +25,27 @@
 	return e.at < o.at || e.at == o.at && e.sequence < o.sequence
 }
 
-// at plans something for a time, which is now at the earliest.
+// at schedules do for a time, or for now if that has passed.
 func (l *eventLoop) at(at time.Duration, do func()) {
 	l.lastSequence++
 	e := scheduledEvent{max(at, l.now), l.lastSequence, do}
 	i := len(l.heap)
 	l.heap = append(l.heap, e)
 	for i > 0 {
-		up := (i - 1) / 4
-		if !e.before(&l.heap[up]) {
+		parent := (i - 1) / 4
+		if !e.before(&l.heap[parent]) {
 			break
 		}
-		l.heap[i] = l.heap[up]
-		i = up
+		l.heap[i] = l.heap[parent]
+		i = parent
 	}
 	l.heap[i] = e
 }
 
-// after plans something for a span from now.
-func (l *eventLoop) after(span time.Duration, do func()) { l.at(l.now+span, do) }
+// after schedules do for some time from now.
+func (l *eventLoop) after(delay time.Duration, do func()) { l.at(l.now+delay, do) }
 
-// run does what is due until a time; false when nothing is left to do.
+// runUntil handles the events up to a time. It returns false when none is left.
 func (l *eventLoop) runUntil(until time.Duration) bool {
 	for len(l.heap) > 0 {
 		if l.heap[0].at > until {
@@ -60,6 +61,7 @@
 	return false
 }
 
+// pop removes the first event.
 func (l *eventLoop) pop() {
 	last := len(l.heap) - 1
 	e := l.heap[last]
@@ -89,8 +91,8 @@
 	l.heap[i] = e
 }
 
-// draw is a number from 0 to 1 that depends on its arguments alone: what chance brings to an op is the same whatever the
-// gateways do, so that arms can be compared op by op. It mixes as splitmix64 does.
+// draw returns a number between 0 and 1 that depends on its arguments alone. The random numbers of an op are therefore
+// the same whatever the gateways do, and arms can be compared op by op. It mixes as splitmix64 does.
 func draw(seed uint64, parts ...uint64) float64 {
 	x := seed
 	for _, p := range parts {
@@ -99,6 +101,7 @@
 	return (float64(mix(x)>>11) + 0.5) / (1 << 53)
 }
 
+// mix is the mixing function of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -107,10 +110,11 @@
 	return x ^ x>>31
 }
 
-// exponential turns a draw into one of mean 1.
+// exponential converts a uniform number from 0 to 1 to an exponentially distributed one of mean 1.
 func exponential(u float64) float64 { return -math.Log(1 - u) }
 
-// lognormal turns a draw into one of mean 1 and the given standard deviation.
+// lognormal converts a uniform number from 0 to 1 to a lognormally distributed one of mean 1 and the given standard
+// deviation.
 func lognormal(u, deviation float64) float64 {
 	if deviation <= 0 {
 		return 1
@@ -119,8 +123,8 @@
 	return math.Exp(math.Sqrt(2*variance)*math.Erfinv(2*u-1) - variance/2)
 }
 
-// Draw is what an op asks of a core of speed 1, and one send of it, as the same op of the same seed would in a run. Stand-ins
-// on sockets draw it too, so that a day on sockets can be laid beside one in virtual time.
+// DrawWork returns the work of one send of an op, drawn from the same distributions as in a run, so that servers that
+// emulate work on real sockets can be compared with simulated ones. It depends on its arguments alone.
 func (o *OpType) Draw(seed, op uint64, try, send int) time.Duration {
 	u := draw(seed, 0x3043, op)
 	work := float64(o.Work) * lognormal(u, o.Vary)
@@ -130,11 +134,12 @@
 	return time.Duration(work * lognormal(draw(seed, 0xa77e, op, uint64(try), uint64(send)), o.Noise))
 }
 
-// Chance is a number from 0 to 1 that depends on its arguments alone.
+// Uniform returns a number between 0 and 1 that depends on its arguments alone.
 func Chance(seed uint64, parts ...uint64) float64 { return draw(seed, parts...) }
 
-// Exponential turns a chance into a number of mean 1.
+// Exponential converts a uniform number from 0 to 1 to an exponentially distributed one of mean 1.
 func Exponential(u float64) float64 { return exponential(u) }
 
-// Lognormal turns a chance into a number of mean 1 and the given standard deviation.
+// Lognormal converts a uniform number from 0 to 1 to a lognormally distributed one of mean 1 and the given standard
+// deviation.
 func Lognormal(u, deviation float64) float64 { return lognormal(u, deviation) }
--- a/internal/emulator/merge.go
+++ b/internal/emulator/merge.go
@@ -6,11 +6,11 @@
 	"gorsewell/internal/gossip"
 )
 
-// add adds up two sets of counters.
+// addCounts returns the sum of two sets of counters.
 func addCounts(a, b gossip.Counts) gossip.Counts {
-	x, y := reflect.ValueOf(&a).Elem(), reflect.ValueOf(b)
-	for i := range x.NumField() {
-		x.Field(i).SetInt(x.Field(i).Int() + y.Field(i).Int())
+	sum, addend := reflect.ValueOf(&a).Elem(), reflect.ValueOf(b)
+	for i := range sum.NumField() {
+		sum.Field(i).SetInt(sum.Field(i).Int() + addend.Field(i).Int())
 	}
 	return a
 }
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -1,9 +1,10 @@
-// Package emulator plays a deployment in virtual time: clients, gateways, database servers that follow one another's log,
-// the list of servers, the network, and what goes wrong. The gateways run the module that decides in service, and gossip's
-// state machine; everything else is a model, which docs/emulator.md describes with what it leaves out.
+// Package emulator simulates a deployment in virtual time: clients, gateways, database servers that replicate a log, the
+// discovery service, the network, and faults. The gateways run the decision module of package choice, and the state
+// machine of package gossip, as in service. Everything else is a model, which docs/emulator.md describes together with
+// what it leaves out. A checker tests the five rules of package choice throughout.
 //
-// A run is determined by its world, its faults, its arm and its seed. What chance brings to an op depends on the op alone, so
-// arms that are played with one seed meet the same ops, the same work and the same troubles.
+// A run is determined by its world, faults, arm and seed. The random numbers of an op depend on the op alone, so that arms
+// run with one seed get the same ops, the same work and the same faults.
 package emulator
 
 import (
@@ -16,20 +17,20 @@
 
 // Arm is what decides in the gateways of a run.
 type Arm struct {
-	Policy string `yaml:"policy"` // module, oracle, primary, turns, least or two; empty: module
+	Policy string `yaml:"policy"` // one of Policies; empty: module
 	Gossip bool   `yaml:"gossip"`
 }
 
-// run is one day under way.
+// simulation is the state of one run.
 type simulation struct {
 	eventLoop
 	world      World
 	arm        Arm
 	seed       uint64
-	rng        *rand.Rand // of the world's own making; never drawn from by what differs between arms
-	networkRNG *rand.Rand // of the ways
+	rng        *rand.Rand // must not be drawn from by what differs between arms
+	networkRNG *rand.Rand // for the delays and the jitter of the network
 	opTypes    []*opType
-	checks     choice.Checks
+	checks     choice.Checks // by servers
 
 	gateways   []*gateway
 	servers    []*server
@@ -37,12 +38,12 @@
 	discovery  *discoveryService
 	clients    *clients
 	checker    *checker
-	cuts       []*networkCut
-	gossipNet  *gossipNetwork
+	cuts       []*networkCut  // under way
+	gossipNet  *gossipNetwork // nil without gossip
 	result     *Result
-	meanWork   time.Duration
+	meanWork   time.Duration // of an op
 	faults     []*Fault
-	testPolicy func(g *gateway) policy // in tests: decides in the policy's place
+	testPolicy func(g *gateway) policy // in tests: makes the policy instead of the arm
 }
 
 // opType is an op type with what is derived from it.
@@ -50,12 +51,13 @@
 	OpType
 	index  int
 	need   choice.Need
-	config choice.OpType
+	config choice.OpType // as the gateways are told it
 }
 
-// Run plays a day. The faults' order does not matter. An error tells what does not make sense.
-func Run(w World, faults []Fault, arm Arm, seed uint64) (*Result, error) {
-	sim, err := newSimulation(w, faults, arm, seed)
+// Run simulates a world with its faults, which need not be in order of time. It returns an error if the world or a
+// fault is invalid.
+func Run(world World, faults []Fault, arm Arm, seed uint64) (*Result, error) {
+	sim, err := newSimulation(world, faults, arm, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -63,9 +65,9 @@
 	return sim.result, nil
 }
 
-// Trace plays a day as Run does and keeps the life of one op.
-func Trace(w World, faults []Fault, arm Arm, seed, op uint64) (*Result, error) {
-	sim, err := newSimulation(w, faults, arm, seed)
+// Trace simulates as Run does, and also records the events of one op in Result.Trace.
+func Trace(world World, faults []Fault, arm Arm, seed, op uint64) (*Result, error) {
+	sim, err := newSimulation(world, faults, arm, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -74,13 +76,15 @@
 	return sim.result, nil
 }
 
-func newSimulation(w World, faults []Fault, arm Arm, seed uint64) (*simulation, error) {
-	sim := &simulation{world: w, arm: arm, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), networkRNG: rand.New(rand.NewPCG(seed, 2))}
-	if err := w.check(); err != nil {
+// newSimulation sets up a run.
+func newSimulation(world World, faults []Fault, arm Arm, seed uint64) (*simulation, error) {
+	sim := &simulation{world: world, arm: arm, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)),
+		networkRNG: rand.New(rand.NewPCG(seed, 2))}
+	if err := world.check(); err != nil {
 		return nil, err
 	}
 	var shares, work float64
-	for i, t := range w.OpTypes {
+	for i, t := range world.OpTypes {
 		o := &opType{OpType: t, index: i, need: needs[t.Need]}
 		o.config = choice.OpType{Effect: effects[t.Effect], Scope: scopes[t.Scope], Window: t.Window, Need: o.need, Target: t.Target,
 			Timeout: t.Timeout, Value: t.Value, LateValue: t.LateValue}
@@ -92,25 +96,25 @@
 		work += t.Share * float64(t.Work)
 	}
 	sim.meanWork = time.Duration(work / shares)
-	sim.checks = checksOf[w.Reports.Checks]
+	sim.checks = checksOf[world.Reports.Checks]
 	sim.result = newResult(sim)
 	sim.checker = newChecker(sim)
 	sim.discovery = &discoveryService{sim: sim, entries: map[*server]*listEntry{}, falseStates: map[*server]choice.State{}}
-	for i := range w.Servers.Groups {
+	for i := range world.Servers.Groups {
 		g := &group{sim: sim, index: i, primaryLostAt: longAgo, tokens: map[uint64]*token{}}
 		sim.groups = append(sim.groups, g)
-		for j := range w.Servers.Members {
-			s := sim.addServer(g, (i+j)%w.Zones, uint8(i%len(w.Servers.Kinds)))
+		for j := range world.Servers.Members {
+			s := sim.addServer(g, (i+j)%world.Zones, uint8(i%len(world.Servers.Kinds)))
 			s.startedAt, s.appliedTo = longAgo, 0
-			e := &listEntry{server: s, state: choice.Ready, primary: j == 0 && w.List.Roles != "none", startedAt: longAgo}
-			sim.discovery.entries[s] = e
-			sim.discovery.ordered = append(sim.discovery.ordered, e)
+			entry := &listEntry{server: s, state: choice.Ready, primary: j == 0 && world.List.Roles != "none", startedAt: longAgo}
+			sim.discovery.entries[s] = entry
+			sim.discovery.ordered = append(sim.discovery.ordered, entry)
 		}
 		g.primary = g.members[0]
 		g.primary.wasPrimary = true
 	}
-	for i := range w.Gateways.Count {
-		sim.gateways = append(sim.gateways, &gateway{sim: sim, index: i, zone: i % w.Zones})
+	for i := range world.Gateways.Count {
+		sim.gateways = append(sim.gateways, &gateway{sim: sim, index: i, zone: i % world.Zones})
 	}
 	sim.clients = newClients(sim)
 	if arm.Gossip {
@@ -126,9 +130,10 @@
 	return sim, nil
 }
 
-// play plays the day to its end.
+// play runs the simulation to its end.
 func (sim *simulation) play() {
-	// Instances have found one another before the first op. Every arm begins at that time, so that days can be compared.
+	// The instances have found one another before the first op. In every arm ops begin at that time, so that runs can be
+	// compared.
 	start := sim.world.Gossip.Warm
 	for _, g := range sim.gateways {
 		g.boot()
@@ -141,17 +146,17 @@
 	for _, f := range sim.faults {
 		f.schedule(sim, start)
 	}
-	if late := sim.world.List.RolesLate; sim.world.List.Roles == "late" && late > 0 {
-		var look func()
-		look = func() {
+	if delay := sim.world.List.RolesLate; sim.world.List.Roles == "late" && delay > 0 {
+		var updateRoles func()
+		updateRoles = func() {
 			sim.discovery.updateRoles()
-			sim.after(late/2, look)
+			sim.after(delay/2, updateRoles)
 		}
-		sim.after(late/2, look)
+		sim.after(delay/2, updateRoles)
 	}
 	end := start + sim.world.Length
 	sim.runUntil(end)
-	for i := 0; i < 60 && sim.clients.openRequests > 0; i++ { // until all is answered, or can no more be
+	for i := 0; i < 60 && sim.clients.openRequests > 0; i++ { // until all requests are answered, or for a minute at most
 		end += time.Second
 		sim.runUntil(end)
 	}
@@ -159,25 +164,26 @@
 	sim.result.finish(start)
 }
 
-// addServer makes a server that does not run yet under the next id.
+// addServer adds a server to a group, under the next id. The caller sets its start and its position.
 func (sim *simulation) addServer(g *group, zone int, kind uint8) *server {
 	id := uint32(len(sim.servers) + 1)
 	k := sim.world.Servers.Kinds[kind]
 	speed := k.Speed * (1 + sim.world.Servers.Spread*(2*draw(sim.seed, 0x5beed, uint64(id))-1))
-	s := &server{sim: sim, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed, slowdown: 1, applySlowdown: 1, generation: 1}
+	s := &server{sim: sim, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed, slowdown: 1, applySlowdown: 1,
+		generation: 1}
 	sim.servers = append(sim.servers, s)
 	g.members = append(g.members, s)
 	return s
 }
 
-// event notes something that a reader of the day wants to see beside the figures.
+// recordEvent records an event that helps a reader to understand the results, while there is room.
 func (sim *simulation) recordEvent(format string, args ...any) {
 	if len(sim.result.Events) < maxEvents {
 		sim.result.Events = append(sim.result.Events, Event{sim.now, fmt.Sprintf(format, args...)})
 	}
 }
 
-// way is how long something takes between two zones.
+// delay draws how long a message takes between two zones.
 func (sim *simulation) delay(a, b int) time.Duration {
 	d := sim.world.Network.Within
 	if a != b {
@@ -186,29 +192,35 @@
 	return sim.withJitter(d)
 }
 
+// withJitter adds a random delay to d.
 func (sim *simulation) withJitter(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*sim.world.Network.Jitter*sim.networkRNG.ExpFloat64())
 }
 
-// cut is a way that carries nothing.
+// networkCut is a part of the network that carries nothing.
 type networkCut struct {
-	fromGateways, toGateways map[int]bool // cut between these instances and the others
-	gateways, servers        map[int]bool // cut between these instances and these servers
-	toServer, toInstance     bool         // which way
-	betweenGateways          bool         // the cut lies between instances
+	fromGateways    map[int]bool // with betweenGateways, by index: what these send to toGateways is lost
+	toGateways      map[int]bool // with betweenGateways, by index
+	gateways        map[int]bool // without betweenGateways, by index: these are cut off from servers
+	servers         map[int]bool // without betweenGateways, by id
+	toServer        bool         // what gateways send to servers is lost
+	toInstance      bool         // what servers send to gateways is lost
+	betweenGateways bool         // the cut is between instances, else between instances and servers
 }
 
-// passes tells whether what a gateway sends reaches a server, and the other way.
-func (sim *simulation) reaches(g *gateway, s *server, there bool) bool {
+// reaches reports whether what a gateway sends reaches a server if toServer, else whether what the server sends
+// reaches the gateway.
+func (sim *simulation) reaches(g *gateway, s *server, toServer bool) bool {
 	for _, c := range sim.cuts {
-		if !c.betweenGateways && c.gateways[g.index] && c.servers[int(s.id)] && (there && c.toServer || !there && c.toInstance) {
+		if !c.betweenGateways && c.gateways[g.index] && c.servers[int(s.id)] &&
+			(toServer && c.toServer || !toServer && c.toInstance) {
 			return false
 		}
 	}
 	return true
 }
 
-// talks tells whether what one instance sends reaches another.
+// gossipReaches reports whether what one instance sends reaches another.
 func (sim *simulation) gossipReaches(from, to int) bool {
 	for _, c := range sim.cuts {
 		if c.betweenGateways && (c.fromGateways[from] && c.toGateways[to]) {
@@ -218,6 +230,7 @@
 	return true
 }
 
+// The values of the words in a world.
 var (
 	needs = map[string]choice.Need{"write": choice.Write, "fresh": choice.Fresh, "session": choice.Session, "bounded": choice.Bounded,
 		"any": choice.Any}
@@ -226,20 +239,21 @@
 	checksOf = map[string]choice.Checks{"none": choice.Unchecked, "refuses": choice.Refuses, "waits": choice.Waits}
 )
 
-// deployment is what a gateway is told at its start.
+// deployment returns what a gateway is told at its start.
 func (sim *simulation) deployment(g *gateway) *choice.Deployment {
-	w := &sim.world
-	d := &choice.Deployment{Gateways: w.Gateways.Count, Seed: mix(sim.seed ^ uint64(g.index)<<20 ^ uint64(g.generation)), EventInterval: w.Gateways.Round,
-		ListOnRequest: w.List.Asked, AskWithin: w.List.Within, Checks: sim.checks, AnswersCarryPosition: w.Reports.Answers, WriteAgeCarried: w.Reports.Carried,
-		MayProbe: w.Gateways.Probes, MayCancel: w.Gateways.Cancels, MaxRetryAfter: w.Gateways.ComeBack, MaxSends: w.Gateways.MaxSends,
-		ColdFrom: w.Servers.ColdFrom, ColdTime: w.Servers.ColdTime, OverloadFactor: w.Rules.Overload,
-		OverloadTime: w.Rules.FallTime, ReportsPosition: w.Reports.Probes, ReportsRole: w.Reports.Probes}
+	world := &sim.world
+	d := &choice.Deployment{Gateways: world.Gateways.Count, Seed: mix(sim.seed ^ uint64(g.index)<<20 ^ uint64(g.generation)),
+		EventInterval: world.Gateways.Round, ListOnRequest: world.List.Asked, AskWithin: world.List.Within, Checks: sim.checks,
+		AnswersCarryPosition: world.Reports.Answers, WriteAgeCarried: world.Reports.Carried, MayProbe: world.Gateways.Probes,
+		MayCancel: world.Gateways.Cancels, MaxRetryAfter: world.Gateways.ComeBack, MaxSends: world.Gateways.MaxSends,
+		ColdFrom: world.Servers.ColdFrom, ColdTime: world.Servers.ColdTime, OverloadFactor: world.Rules.Overload,
+		OverloadTime: world.Rules.FallTime, ReportsPosition: world.Reports.Probes, ReportsRole: world.Reports.Probes}
 	for _, t := range sim.opTypes {
 		d.OpTypes = append(d.OpTypes, t.config)
 	}
 	return d
 }
 
-// Model counts changes of the emulator or of what it runs that make earlier results unlike later ones. Kept runs of another
-// count are played again.
+// ModelVersion increases with each change of the emulator, or of what it runs, that makes results differ from earlier
+// ones. Stored runs of another version are run again.
 const Model = 1
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -10,13 +10,14 @@
 	"gorsewell/choice"
 )
 
-// small is a world that a test plays in a fraction of a second.
+// smallWorld returns a world that runs in a fraction of a second.
 func smallWorld() World {
 	w := Default()
 	w.Length, w.Gossip.Warm = 20*time.Second, 5*time.Second
 	return w
 }
 
+// runWorld runs a world and fails the test on an error.
 func runWorld(t *testing.T, w World, faults []Fault, arm Arm, seed uint64) *Result {
 	t.Helper()
 	r, err := Run(w, faults, arm, seed)
@@ -29,7 +30,8 @@
 func TestRunIsDeterministic(t *testing.T) {
 	w := smallWorld()
 	w.Network.Loss, w.Network.Twice, w.Network.Reorder = 0.1, 0.1, 0.1
-	faults := []Fault{{Kind: "hang", At: 2 * time.Second, For: 5 * time.Second, Count: 2}, {Kind: "gateway_crash", At: 4 * time.Second, Count: 1, Back: time.Second},
+	faults := []Fault{{Kind: "hang", At: 2 * time.Second, For: 5 * time.Second, Count: 2},
+		{Kind: "gateway_crash", At: 4 * time.Second, Count: 1, Back: time.Second},
 		{Kind: "deploy", At: 5 * time.Second, For: 8 * time.Second, Share: 0.5}, {Kind: "liar", Count: 1, How: "all"},
 		{Kind: "gateway_pause", At: 9 * time.Second, Count: 1, Back: 2 * time.Second}}
 	var first []byte
@@ -45,119 +47,128 @@
 		if i == 0 {
 			first = text
 		} else if !slices.Equal(first, text) {
-			t.Errorf("two plays of one day differ:\n%s\n%s", first, text)
+			t.Errorf("two runs with the same seed differ: want\n%s\ngot\n%s", first, text)
 		}
 	}
 	if other := runWorld(t, w, faults, Arm{Gossip: true}, 8); other.Asked == runWorld(t, w, faults, Arm{}, 7).Asked {
-		t.Error("another seed gave as many ops")
+		t.Error("got the same number of ops with another seed, want another number")
 	}
 }
 
-// What is asked does not depend on who answers, or arms could not be compared.
+// Arms can only be compared if the ops do not depend on who answers them.
 func TestArmsGetSameOps(t *testing.T) {
-	faults := []Fault{{Kind: "crash", At: 2 * time.Second, For: 5 * time.Second, Share: 0.2}, {Kind: "burst", At: 3 * time.Second, For: 3 * time.Second}}
+	faults := []Fault{{Kind: "crash", At: 2 * time.Second, For: 5 * time.Second, Share: 0.2},
+		{Kind: "burst", At: 3 * time.Second, For: 3 * time.Second}}
 	asked := runWorld(t, smallWorld(), faults, Arm{}, 1).Types
 	for _, policy := range Policies {
 		for i, other := range runWorld(t, smallWorld(), faults, Arm{Policy: policy, Gossip: true}, 1).Types {
 			if other.Asked != asked[i].Asked || other.Value != asked[i].Value {
-				t.Errorf("%s: %s asked %d times, by the module %d", policy, other.Name, other.Asked, asked[i].Asked)
+				t.Errorf("%s: op type %s: got %d ops, want %d as with the module", policy, other.Name, other.Asked, asked[i].Asked)
 			}
 		}
 	}
 }
 
-// In every kind of trouble the module keeps the rules, with and without gossip, and the oracle does no worse than it.
+// Under every kind of fault the decision module keeps the rules, with and without gossip, and its service is not
+// better than that of the oracle, which is an upper bound.
 func TestModuleKeepsRulesUnderEveryFault(t *testing.T) {
 	names, _ := FaultKinds()
 	for i, name := range names {
 		w := smallWorld()
 		w.Length, w.Servers.Groups, w.Servers.Members = 12*time.Second, 2, 3+i%3
 		w.Reports.Checks = []string{"none", "refuses", "waits"}[i%3]
-		f := []Fault{{Kind: name, At: 3 * time.Second, For: 8 * time.Second, Share: 0.3, Back: 2 * time.Second}}
-		with, without := runWorld(t, w, f, Arm{Gossip: true}, uint64(i)), runWorld(t, w, f, Arm{}, uint64(i))
-		oracle := runWorld(t, w, f, Arm{Policy: "oracle"}, uint64(i))
-		lies := name == "lying_position" // then stale reads are the servers' own doing
+		faults := []Fault{{Kind: name, At: 3 * time.Second, For: 8 * time.Second, Share: 0.3, Back: 2 * time.Second}}
+		with, without := runWorld(t, w, faults, Arm{Gossip: true}, uint64(i)), runWorld(t, w, faults, Arm{}, uint64(i))
+		oracle := runWorld(t, w, faults, Arm{Policy: "oracle"}, uint64(i))
+		lyingPosition := name == "lying_position" // then stale reads are the fault of the servers
 		for arm, r := range map[string]*Result{"with": with, "without": without} {
-			if r.RulesBroken() > 0 && !(lies && r.RulesBroken() == r.Broken[4]) {
-				t.Errorf("%s, %s gossip: rules broken %v: %+v", name, arm, r.Broken, r.Stories)
+			if r.RulesBroken() > 0 && !(lyingPosition && r.RulesBroken() == r.Broken[4]) {
+				t.Errorf("%s, %s gossip: got violations %v, want none: %+v", name, arm, r.Broken, r.Stories)
 			}
 			if r.Service() > oracle.Service()+0.02 {
-				t.Errorf("%s, %s gossip: service %.3f, by the oracle %.3f", name, arm, r.Service(), oracle.Service())
+				t.Errorf("%s, %s gossip: got service %.3f, want at most %.3f, the oracle's, plus 0.02", name, arm, r.Service(), oracle.Service())
 			}
 			if r.Service() < 0.3 {
-				t.Errorf("%s, %s gossip: service %.3f", name, arm, r.Service())
+				t.Errorf("%s, %s gossip: got service %.3f, want at least 0.3", name, arm, r.Service())
 			}
 		}
 	}
 }
 
-// mutate plays a day on which a policy that breaks a rule decides.
-func runMutant(t *testing.T, w World, faults []Fault, choose func(p *baselinePolicy, o *baselineOp) *server, change func(p *baselinePolicy) policy) *Result {
+// runMutant runs a world with a policy that breaks a rule. wrap, if not nil, changes the policy or wraps it.
+func runMutant(t *testing.T, w World, faults []Fault, choose func(p *baselinePolicy, o *baselineOp) *server,
+	wrap func(p *baselinePolicy) policy) *Result {
 	t.Helper()
-	r, err := newSimulation(w, faults, Arm{}, 1)
+	sim, err := newSimulation(w, faults, Arm{}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.testPolicy = func(g *gateway) policy {
-		p := newBaselinePolicy(g, r.deployment(g), choose)
-		if change != nil {
-			return change(p)
+	sim.testPolicy = func(g *gateway) policy {
+		p := newBaselinePolicy(g, sim.deployment(g), choose)
+		if wrap != nil {
+			return wrap(p)
 		}
 		return p
 	}
-	r.play()
-	return r.result
+	sim.play()
+	return sim.result
 }
 
-// only tells that a mutant broke its rule, and no other.
+// expectOnly checks that a run broke one rule and no other, and has a story of it.
 func expectOnly(t *testing.T, r *Result, rule int) {
 	t.Helper()
 	for i, n := range r.Broken {
 		if n > 0 != (i == rule-1) {
-			t.Errorf("rule %d: broken %v, %+v", rule, r.Broken, r.Stories)
+			t.Errorf("rule %d: got violations %v, want some of this rule only: %+v", rule, r.Broken, r.Stories)
 			return
 		}
 	}
 	if len(r.Stories) == 0 || r.Stories[0].Rule != rule || r.Stories[0].What == "" {
-		t.Errorf("rule %d: no story", rule)
+		t.Errorf("rule %d: got no story about it in first place, want one", rule)
 	}
 }
 
+// forgetfulPolicy ignores one op in ten.
 type forgetfulPolicy struct{ *baselinePolicy }
 
-// Op forgets one op in ten.
-func (m forgetfulPolicy) Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration, inGroup uint16, wroteAgo time.Duration, again bool) {
+func (m forgetfulPolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration, groupID uint16,
+	writeAge time.Duration, isRetry bool) {
 	if id%10 > 0 {
-		m.baselinePolicy.Op(now, id, kind, session, due, inGroup, wroteAgo, again)
+		m.baselinePolicy.Op(now, id, typeNumber, session, clientLeavesAt, groupID, writeAge, isRetry)
 	}
 }
 
+// resendingPolicy sends one op in ten again after its end.
 type resendingPolicy struct{ *baselinePolicy }
 
-// Answer sends once more after the end.
-func (m resendingPolicy) Answer(now time.Duration, id uint32, send uint8, at uint32, result choice.Result, took time.Duration, final bool, role choice.Role, pos time.Duration) {
-	m.baselinePolicy.Answer(now, id, send, at, result, took, final, role, pos)
-	if final && id%10 == 0 && send == 0 {
-		m.gateway.Send(id, at, 0)
+func (m resendingPolicy) Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result, took time.Duration,
+	final bool, role choice.Role, pos time.Duration) {
+	m.baselinePolicy.Answer(now, id, number, serverID, result, took, final, role, pos)
+	if final && id%10 == 0 && number == 0 {
+		m.gateway.Send(id, serverID, 0)
 	}
 }
 
+// duplicatingPolicy sends one op in ten to the same server again while its first send is open.
 type duplicatingPolicy struct{ *baselinePolicy }
 
-// Op sends what has just been sent.
-func (m duplicatingPolicy) Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration, inGroup uint16, wroteAgo time.Duration, again bool) {
-	m.baselinePolicy.Op(now, id, kind, session, due, inGroup, wroteAgo, again)
+func (m duplicatingPolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration, groupID uint16,
+	writeAge time.Duration, isRetry bool) {
+	m.baselinePolicy.Op(now, id, typeNumber, session, clientLeavesAt, groupID, writeAge, isRetry)
 	if o := m.ops[id]; o != nil && o.sentTo != nil && id%10 == 0 {
 		m.gateway.Send(id, o.sentTo.id, 0)
 	}
 }
 
 func TestCheckersDetectViolations(t *testing.T) {
-	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh, func(p *baselinePolicy) policy { return forgetfulPolicy{p} }), 1)
-	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh, func(p *baselinePolicy) policy { return resendingPolicy{p} }), 1)
-	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh, func(p *baselinePolicy) policy { return duplicatingPolicy{p} }), 2)
+	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh,
+		func(p *baselinePolicy) policy { return forgetfulPolicy{p} }), 1)
+	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh,
+		func(p *baselinePolicy) policy { return resendingPolicy{p} }), 1)
+	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh,
+		func(p *baselinePolicy) policy { return duplicatingPolicy{p} }), 2)
 
-	// Whatever has failed is sent again, and told to be harmless.
+	// Every op that failed is sent again and counts as retryable.
 	w := smallWorld()
 	w.OpTypes[2].Effect = "non_retryable"
 	errors := []Fault{{Kind: "error", At: time.Second, Size: 0.5, Of: "primaries", Share: 1}}
@@ -168,13 +179,14 @@
 		return p
 	}), 2)
 
-	// A draining server is as good as any.
+	// Ops are sent to draining servers.
 	drains := []Fault{{Kind: "drain", At: 3 * time.Second, Count: 3, Of: "replicas", Back: time.Second}}
 	w = smallWorld()
 	w.Servers.Drain = 4 * time.Second
-	expectOnly(t, runMutant(t, w, drains, (*baselinePolicy).roundRobinFresh, func(p *baselinePolicy) policy { return drainIgnoringPolicy{p} }), 3)
+	expectOnly(t, runMutant(t, w, drains, (*baselinePolicy).roundRobinFresh,
+		func(p *baselinePolicy) policy { return drainIgnoringPolicy{p} }), 3)
 
-	// Whoever has just started has most room.
+	// Reads are sent to the server that started last.
 	w = smallWorld()
 	w.Servers.ColdFrom, w.Servers.ColdTime, w.Rules.FallTime = 0.05, 20*time.Second, time.Second
 	w.Load.Use = 0.8
@@ -184,11 +196,13 @@
 	r := runMutant(t, w, restart, (*baselinePolicy).newestStarted, nil)
 	expectOnly(t, r, 4)
 
+	// Session reads are sent to replicas that are behind.
 	w = smallWorld()
 	w.OpTypes[0].Need = "any"
 	expectOnly(t, runMutant(t, w, []Fault{{Kind: "slow_apply", At: time.Second, Share: 1, Of: "replicas"}}, (*baselinePolicy).roundRobin, nil), 5)
 }
 
+// drainIgnoringPolicy takes draining servers for ready ones.
 type drainIgnoringPolicy struct{ *baselinePolicy }
 
 func (m drainIgnoringPolicy) List(now time.Duration, scope choice.ListScope, listed []choice.Listed) {
@@ -200,7 +214,7 @@
 	}
 }
 
-// turnsFresh takes members in turn whose true position will do.
+// roundRobinFresh picks members in turn whose true position is new enough.
 func (p *baselinePolicy) roundRobinFresh(o *baselineOp) *server {
 	if p.primaryOnly(o) {
 		return p.primary(o)
@@ -208,28 +222,30 @@
 	for range o.group.members {
 		p.rotation++
 		s := o.group.members[p.rotation%len(o.group.members)]
-		want := o.minPosition + p.gateway.clockBase
+		minPosition := o.minPosition + p.gateway.clockBase
 		if o.opType.Need == choice.Bounded {
-			want = p.gateway.sim.now - o.opType.Bound
+			minPosition = p.gateway.sim.now - o.opType.Bound
 		}
-		if p.ready(s) && (s.isPrimary() || s.position() >= want && (s.startedAt == longAgo || s.speedShare(p.gateway.sim.now) >= 1)) {
+		if p.ready(s) && (s.isPrimary() || s.position() >= minPosition &&
+			(s.startedAt == longAgo || s.speedShare(p.gateway.sim.now) >= 1)) {
 			return s
 		}
 	}
 	return nil
 }
 
-// coldest sends reads to what started last.
+// newestStarted picks for reads the member that started last.
 func (p *baselinePolicy) newestStarted(o *baselineOp) (best *server) {
 	if p.primaryOnly(o) {
 		return p.primary(o)
 	}
 	for _, s := range o.group.members {
-		want := o.minPosition + p.gateway.clockBase
+		minPosition := o.minPosition + p.gateway.clockBase
 		if o.opType.Need == choice.Bounded {
-			want = p.gateway.sim.now - o.opType.Bound
+			minPosition = p.gateway.sim.now - o.opType.Bound
 		}
-		if s.isUp() && p.ready(s) && (s.isPrimary() || s.position() >= want) && (best == nil || s.startedAt > best.startedAt) {
+		if s.isUp() && p.ready(s) && (s.isPrimary() || s.position() >= minPosition) &&
+			(best == nil || s.startedAt > best.startedAt) {
 			best = s
 		}
 	}
@@ -238,20 +254,20 @@
 
 func TestDrawDistributions(t *testing.T) {
 	const n = 200000
-	var sum, exp, log, logSquare float64
+	var sum, exponentials, lognormals, lognormalSquares float64
 	for i := range uint64(n) {
 		u := draw(3, i, 5)
 		if u <= 0 || u >= 1 {
 			t.Fatal(u)
 		}
 		sum += u
-		exp += exponential(u)
+		exponentials += exponential(u)
 		x := lognormal(u, 0.8)
-		log += x
-		logSquare += x * x
+		lognormals += x
+		lognormalSquares += x * x
 	}
-	mean, deviation := log/n, math.Sqrt(logSquare/n-log/n*log/n)
-	if math.Abs(sum/n-0.5) > 0.003 || math.Abs(exp/n-1) > 0.01 || math.Abs(mean-1) > 0.01 || math.Abs(deviation-0.8) > 0.03 {
-		t.Errorf("means %v %v %v, deviation %v", sum/n, exp/n, mean, deviation)
+	mean, deviation := lognormals/n, math.Sqrt(lognormalSquares/n-lognormals/n*lognormals/n)
+	if math.Abs(sum/n-0.5) > 0.003 || math.Abs(exponentials/n-1) > 0.01 || math.Abs(mean-1) > 0.01 || math.Abs(deviation-0.8) > 0.03 {
+		t.Errorf("got means %v %v %v and deviation %v, want 0.5 1 1 and 0.8", sum/n, exponentials/n, mean, deviation)
 	}
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -24,7 +24,7 @@
 	id    uint32
 	group *group
 	zone  int
-	kind  uint8
+	kind  uint8 // index into Servers.Kinds
 	cores int
 	speed float64 // of a core when warm, drawn for the run
 
@@ -42,10 +42,10 @@
 	generation      int           // number of starts and crashes; what belongs to an earlier one has no effect
 
 	busyCores       int
-	queue           []*attempt
-	deferred        []func() // what waits until a hung server resumes
-	openConnections int      // connections of all gateways
-	openAttempts    int      // attempts without a result so far, for the oracle
+	queue           []*attempt // attempts that wait for a core
+	deferred        []func()   // what waits until a hung server resumes
+	openConnections int        // connections of all gateways
+	openAttempts    int        // attempts without a result so far, for the oracle
 
 	// The log, on a replica: times of the commits that are shipped but not applied, oldest first.
 	backlog      []time.Duration
@@ -53,9 +53,10 @@
 	appliedTo    time.Duration // time of the newest commit applied
 	applyHolds   int           // running reads that keep the log from being applied
 	waitingReads []*attempt    // reads that wait until the position is new enough
-	wasPrimary   bool
+	wasPrimary   bool          // it is or was the primary at some time
 
-	// Work that arrived during the last Rules.FallTime while the server was cold, for rule 4 and to decide whether it crashes.
+	// Work that arrived during the last Rules.FallTime while the server was cold, for rule 4 and to decide whether the
+	// server crashes.
 	coldWindow  []coldWork
 	coldWorkSum float64
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -6,180 +6,182 @@
 	"gorsewell/internal/yamlfile"
 )
 
-// World describes a deployment: what there is, what it is asked, and how it answers. A run plays one day of it. Times are
-// spans; a share is a number from 0 to 1; work is what a core of speed 1 needs alone.
+// World describes a deployment and its load. Shares are numbers from 0 to 1. Work is the time that a core of speed 1
+// needs for an op alone.
 type World struct {
-	Length   time.Duration `yaml:"length"`   // for which ops come in; a run goes on until all are answered
-	Zones    int           `yaml:"zones"`    // buildings; servers and gateways are spread over them in turn
-	Network  Network       `yaml:"network"`  // ways between parties
-	Gateways Gateways      `yaml:"gateways"` // instances
-	Servers  Servers       `yaml:"servers"`  // groups of a primary and replicas
-	Log      Log           `yaml:"log"`      // how replicas follow
-	Failover Failover      `yaml:"failover"` // how a group gets another primary
-	List     List          `yaml:"list"`     // what tells gateways of servers
-	Reports  Reports       `yaml:"reports"`  // what servers tell of themselves
-	Clients  Clients       `yaml:"clients"`  // who asks
-	Load     Load          `yaml:"load"`     // how much is asked
+	Length   time.Duration `yaml:"length"` // time in which ops come in; up to a minute follows in which the last ones are answered
+	Zones    int           `yaml:"zones"`  // number of zones, over which servers and gateways are spread in turn
+	Network  Network       `yaml:"network"`
+	Gateways Gateways      `yaml:"gateways"`
+	Servers  Servers       `yaml:"servers"`
+	Log      Log           `yaml:"log"` // replication
+	Failover Failover      `yaml:"failover"`
+	List     List          `yaml:"list"` // discovery
+	Reports  Reports       `yaml:"reports"`
+	Clients  Clients       `yaml:"clients"`
+	Load     Load          `yaml:"load"`
 	OpTypes  []OpType      `yaml:"op_types"`
-	Rules    Rules         `yaml:"rules"` // figures of the five rules
+	Rules    Rules         `yaml:"rules"` // limits of the five rules
 	Gossip   Gossip        `yaml:"gossip"`
 }
 
-// Network is how long ways take, one way each.
+// Network describes the network. Delays are for one direction.
 type Network struct {
-	Within  time.Duration `yaml:"within"`  // a zone
-	Between time.Duration `yaml:"between"` // zones
-	Client  time.Duration `yaml:"client"`  // from a client to its gateway
-	Jitter  float64       `yaml:"jitter"`  // mean of what is added by chance, as a share of the way
-	Loss    float64       `yaml:"loss"`    // share of datagrams lost; streams only get slower
-	Twice   float64       `yaml:"twice"`   // share of datagrams that come a second time
+	Within  time.Duration `yaml:"within"`  // delay within a zone
+	Between time.Duration `yaml:"between"` // delay between zones
+	Client  time.Duration `yaml:"client"`  // delay between a client and its gateway
+	Jitter  float64       `yaml:"jitter"`  // mean of the random part, which is added, as a share of the delay
+	Loss    float64       `yaml:"loss"`    // share of datagrams that are lost; streams only get slower
+	Twice   float64       `yaml:"twice"`   // share of datagrams that arrive a second time
 	Reorder float64       `yaml:"reorder"` // share of datagrams that take ten times as long
 }
 
-// Gateways is what one instance is like.
+// Gateways describes the instances.
 type Gateways struct {
 	Count      int           `yaml:"count"`
-	Round      time.Duration `yaml:"round"`       // between two looks of the module
-	MaxSends   int           `yaml:"max_sends"`   // of an op
-	Probes     bool          `yaml:"probes"`      // are allowed
-	Cancels    bool          `yaml:"cancels"`     // are allowed
-	ComeBack   time.Duration `yaml:"come_back"`   // the longest time to come back that clients honour
-	FrontKnows time.Duration `yaml:"front_knows"` // after which the front stops sending to a dead instance
+	Round      time.Duration `yaml:"round"`       // least time between two events of the module
+	MaxSends   int           `yaml:"max_sends"`   // most sends of one op
+	Probes     bool          `yaml:"probes"`      // servers may be probed
+	Cancels    bool          `yaml:"cancels"`     // sends may be cancelled
+	ComeBack   time.Duration `yaml:"come_back"`   // longest wait named in a busy reply that clients honour
+	FrontKnows time.Duration `yaml:"front_knows"` // time after which the front end stops sending to an instance that is down
 }
 
-// Servers is what there is of them and what they are like.
+// Servers describes the servers and their machines.
 type Servers struct {
 	Groups     int           `yaml:"groups"`
-	Members    int           `yaml:"members"`      // of a group, the primary included
-	Kinds      []Kind        `yaml:"kinds"`        // of machine; groups take them in turn
-	Spread     float64       `yaml:"speed_spread"` // machines of a kind differ by so much
-	Queue      int           `yaml:"queue"`        // ops that wait for a core at most, for each core
-	CancelStop bool          `yaml:"cancel_stops"` // a cancel drops an op that still waits
-	ColdFrom   float64       `yaml:"cold_from"`    // share of its speed at which a machine starts
-	ColdTime   time.Duration `yaml:"cold_time"`    // until it has all of it
-	Conns      int           `yaml:"connections"`  // that a server takes at most; 0: any number
-	Idle       time.Duration `yaml:"idle"`         // for which a server keeps a connection that is not used
-	Handshake  time.Duration `yaml:"handshake"`    // of a server's core for a new connection
-	RoundTrips int           `yaml:"round_trips"`  // of a new connection before the first op
-	ConnectFor time.Duration `yaml:"connect_for"`  // that a gateway waits for a new connection
-	Drain      time.Duration `yaml:"drain"`        // that a draining server stays up
+	Members    int           `yaml:"members"`      // servers in a group, the primary included
+	Kinds      []Kind        `yaml:"kinds"`        // of machines; groups take them in turn
+	Spread     float64       `yaml:"speed_spread"` // greatest deviation of a machine from the speed of its kind, as a share
+	Queue      int           `yaml:"queue"`        // most ops that wait for a core, for each core
+	CancelStop bool          `yaml:"cancel_stops"` // a cancel drops an op that still waits for a core
+	ColdFrom   float64       `yaml:"cold_from"`    // share of its speed with which a machine starts
+	ColdTime   time.Duration `yaml:"cold_time"`    // time from the start until it has its full speed
+	Conns      int           `yaml:"connections"`  // most connections that a server accepts; 0: no limit
+	Idle       time.Duration `yaml:"idle"`         // time after which a server closes an unused connection
+	Handshake  time.Duration `yaml:"handshake"`    // work of a server for a new connection
+	RoundTrips int           `yaml:"round_trips"`  // needed for a new connection before the first op
+	ConnectFor time.Duration `yaml:"connect_for"`  // time after which a gateway gives up a new connection
+	Drain      time.Duration `yaml:"drain"`        // time for which a draining server stays up
 }
 
 // Kind is one kind of machine.
 type Kind struct {
 	Name  string  `yaml:"name"`
 	Cores int     `yaml:"cores"`
-	Speed float64 `yaml:"speed"`
+	Speed float64 `yaml:"speed"` // work that a core does in a unit of time
 }
 
-// SetDefaults makes a kind that names nothing else an ordinary one.
+// SetDefaults sets what a file need not say.
 func (k *Kind) SetDefaults() { k.Cores, k.Speed = 3, 1 }
 
-// Log is how a replica gets and applies the primary's log.
+// Log describes the replication of the log from the primary.
 type Log struct {
-	Ship  time.Duration `yaml:"ship"`  // until a commit has reached a replica
-	Apply time.Duration `yaml:"apply"` // work of one write on the replica's one applying thread
-	Seed  time.Duration `yaml:"seed"`  // how old the copy is from which a new server starts
+	Ship  time.Duration `yaml:"ship"`  // time until a commit has reached a replica
+	Apply time.Duration `yaml:"apply"` // mean work to apply one write, in the one thread of a replica that does so
+	Seed  time.Duration `yaml:"seed"`  // age of the copy from which a new server starts
 }
 
-// Failover is how a group gets another primary.
+// Failover describes how a group gets another primary.
 type Failover struct {
-	Detect time.Duration `yaml:"detect"` // until a primary that is dead, hung or cut off is given up
-	Elect  time.Duration `yaml:"elect"`  // from then until another takes over
-	Hand   time.Duration `yaml:"hand"`   // until one that drains has handed over
+	Detect time.Duration `yaml:"detect"` // time until a primary that is down, hangs or is cut off is given up
+	Elect  time.Duration `yaml:"elect"`  // time from then until another takes over
+	Hand   time.Duration `yaml:"hand"`   // time until a draining primary has handed over
 }
 
-// List is the service that tells gateways which servers there are.
+// List describes the discovery service, which tells the gateways of servers.
 type List struct {
-	Asked     bool          `yaml:"asked"`      // it tells only who asks; else it pushes
-	Down      time.Duration `yaml:"down"`       // until it notices that a process has ended
-	Vanished  time.Duration `yaml:"vanished"`   // until it notices that a machine is gone without a word
-	Added     time.Duration `yaml:"added"`      // until it lists a server that has started
-	Spread    time.Duration `yaml:"spread"`     // over which gateways hear of a change
-	Call      time.Duration `yaml:"call"`       // that one asking keeps it busy
-	Timeout   time.Duration `yaml:"timeout"`    // after which an asking has failed
-	Roles     string        `yaml:"roles"`      // none, start or late
-	RolesLate time.Duration `yaml:"roles_late"` // how late, where they are late
-	Within    time.Duration `yaml:"ask_within"` // a gateway that has not asked for so long is deemed told
-}
-
-// Reports is what servers tell of themselves.
+	Asked     bool          `yaml:"asked"`      // the list is sent only when requested, else changes are pushed
+	Down      time.Duration `yaml:"down"`       // delay until the end of a process is noticed
+	Vanished  time.Duration `yaml:"vanished"`   // delay until it is noticed that a machine does not answer
+	Added     time.Duration `yaml:"added"`      // delay until a server that has started or drains is listed as such
+	Spread    time.Duration `yaml:"spread"`     // over which the gateways learn of a change
+	Call      time.Duration `yaml:"call"`       // time that one request keeps the service busy
+	Timeout   time.Duration `yaml:"timeout"`    // after which a request has failed
+	Roles     string        `yaml:"roles"`      // whether it tells who is primary: none, start (who was at the start) or late
+	RolesLate time.Duration `yaml:"roles_late"` // delay with which it tells that, if late
+	Within    time.Duration `yaml:"ask_within"` // a gateway that has not requested the list for this time counts as knowing it
+}
+
+// Reports describes what servers tell of themselves.
 type Reports struct {
-	Answers  bool          `yaml:"answers"`  // answers tell role and position
-	Probes   bool          `yaml:"probes"`   // probes tell role and position
-	Refresh  time.Duration `yaml:"refresh"`  // how old what a probe tells may be
-	Work     time.Duration `yaml:"work"`     // of a probe
-	Checks   string        `yaml:"checks"`   // what a server does with a read that it is too far behind for: none, refuses or waits
+	Answers  bool          `yaml:"answers"`  // answers carry the role and the position
+	Probes   bool          `yaml:"probes"`   // probe answers carry the role and the position
+	Refresh  time.Duration `yaml:"refresh"`  // greatest age of the position in a probe answer
+	Work     time.Duration `yaml:"work"`     // work of a probe
+	Checks   string        `yaml:"checks"`   // what a server does with a read for which its data is too old: none, refuses or waits
 	OnHung   bool          `yaml:"on_hung"`  // a server that hangs still answers probes
 	Timeout  time.Duration `yaml:"timeout"`  // of a probe
-	Carried  bool          `yaml:"carried"`  // a session's read tells how old its last write is
-	GoneRuns bool          `yaml:"gone_run"` // that the list calls a server gone proves nothing
+	Carried  bool          `yaml:"carried"`  // session reads carry the age of their session's last write
+	GoneRuns bool          `yaml:"gone_run"` // servers that are listed as gone may still be running
 }
 
-// Clients is how those behave who ask.
+// Clients describes how clients behave.
 type Clients struct {
-	Retries  int           `yaml:"retries"`
-	Backoff  time.Duration `yaml:"backoff"`
-	Honour   float64       `yaml:"honour"`   // share of clients that come back when they are told to
-	Marks    bool          `yaml:"marks"`    // a retry says that it is one
+	Retries  int           `yaml:"retries"`  // most retries of a request
+	Backoff  time.Duration `yaml:"backoff"`  // wait before each retry
+	Honour   float64       `yaml:"honour"`   // share of clients that wait as long as a busy reply says
+	Marks    bool          `yaml:"marks"`    // retries are marked as such
 	Patience float64       `yaml:"patience"` // least share of the op timeout for which a client waits
-	Sessions int           `yaml:"sessions"` // of one gateway
-	Roam     float64       `yaml:"roam"`     // share of a session's ops that come in anywhere
-	Follows  float64       `yaml:"follows"`  // share of session reads that come soon after a write of theirs
-	Gap      time.Duration `yaml:"gap"`      // after it, in the mean
+	Sessions int           `yaml:"sessions"` // number of sessions for each gateway
+	Roam     float64       `yaml:"roam"`     // share of a session's ops that go to a random gateway
+	Follows  float64       `yaml:"follows"`  // share of session reads that follow a write of their session
+	Gap      time.Duration `yaml:"gap"`      // mean time between that write and the read
 }
 
-// Load is how much is asked.
+// Load describes how many ops are asked, and when.
 type Load struct {
-	PerSecond float64       `yaml:"per_second"` // ops; 0: by Use
-	Use       float64       `yaml:"use"`        // of the capacity of all servers
-	Curve     []Point       `yaml:"curve"`      // factors over time, straight between points
-	Arrivals  []float64     `yaml:"arrivals"`   // captured times in seconds, instead of chance
-	Skew      float64       `yaml:"skew"`       // how unevenly groups are asked: 0 evenly
-	Quantum   time.Duration `yaml:"quantum"`    // ops come in at multiples of it; 0: at any time
+	PerSecond float64       `yaml:"per_second"` // ops a second; 0: as Use says
+	Use       float64       `yaml:"use"`        // as a share of the capacity of all servers
+	Curve     []Point       `yaml:"curve"`      // factors over time, interpolated linearly
+	Arrivals  []float64     `yaml:"arrivals"`   // recorded times of ops in seconds, instead of random ones
+	Skew      float64       `yaml:"skew"`       // how unevenly ops are spread over the groups; 0: evenly
+	Quantum   time.Duration `yaml:"quantum"`    // has no effect
 }
 
-// Point is a factor of the load at a time.
+// Point is a factor on the load at a time.
 type Point struct {
 	At     time.Duration `yaml:"at"`
 	Factor float64       `yaml:"factor"`
 }
 
-// OpType is one kind of op.
+// OpType is one type of op.
 type OpType struct {
 	Name       string        `yaml:"name"`
-	Share      float64       `yaml:"share"` // of all ops, as a weight
-	Work       time.Duration `yaml:"work"`  // in the mean
-	Vary       float64       `yaml:"vary"`  // standard deviation of the work over its mean, lognormal; 1 with exponential true: exponential
-	Exp        bool          `yaml:"exponential"`
-	Noise      float64       `yaml:"noise"` // by which two sends of one op differ
-	Target     time.Duration `yaml:"target"`
-	Timeout    time.Duration `yaml:"timeout"`
-	Value      float64       `yaml:"value"`
-	LateValue  float64       `yaml:"late_value"` // share of the value that a late ack earns
-	Effect     string        `yaml:"effect"`     // retryable, tokened or non_retryable
-	Scope      string        `yaml:"scope"`      // of a token: group, zone or all
-	Window     time.Duration `yaml:"window"`     // of a token
-	Need       string        `yaml:"need"`       // write, fresh, session, bounded or any
-	Bound      time.Duration `yaml:"bound"`
-	HoldsApply bool          `yaml:"holds_apply"` // while a replica works on one it applies nothing
-}
-
-// SetDefaults gives an op type that names little a plain read's ways.
+	Share      float64       `yaml:"share"`       // of all ops, as a weight
+	Work       time.Duration `yaml:"work"`        // mean
+	Vary       float64       `yaml:"vary"`        // standard deviation of the work divided by its mean; lognormal, unless Exp
+	Exp        bool          `yaml:"exponential"` // the work has an exponential distribution
+	Noise      float64       `yaml:"noise"`       // standard deviation of the lognormal factor on the work of each send
+	Target     time.Duration `yaml:"target"`      // latency target
+	Timeout    time.Duration `yaml:"timeout"`     // op timeout
+	Value      float64       `yaml:"value"`       // earned by an ack within the latency target
+	LateValue  float64       `yaml:"late_value"`  // share of Value earned by an ack after the latency target
+	Effect     string        `yaml:"effect"`      // retryable, tokened or non_retryable
+	Scope      string        `yaml:"scope"`       // of a tokened op: group, zone or all
+	Window     time.Duration `yaml:"window"`      // time for which the servers in Scope drop repeats of a tokened op
+	Need       string        `yaml:"need"`        // write, fresh, session, bounded or any
+	Bound      time.Duration `yaml:"bound"`       // greatest age of the data that a bounded read accepts
+	HoldsApply bool          `yaml:"holds_apply"` // while a replica works on such an op, it does not apply the log
+}
+
+// SetDefaults sets what a file need not say, as for a plain read.
 func (o *OpType) SetDefaults() {
 	*o = OpType{Share: 1, Work: 20 * time.Millisecond, Vary: 0.8, Noise: 0.2, Target: 500 * time.Millisecond,
-		Timeout: 2 * time.Second, Value: 1, Effect: "retryable", Scope: "group", Window: 2 * time.Second, Need: "any", Bound: 200 * time.Millisecond}
+		Timeout: 2 * time.Second, Value: 1, Effect: "retryable", Scope: "group", Window: 2 * time.Second, Need: "any",
+		Bound: 200 * time.Millisecond}
 }
 
-// Rules holds the figures by which a run is checked, and which the module is told.
+// Rules holds the limits by which the checker judges a run. The decision module is told some of them.
 type Rules struct {
-	Grace    time.Duration `yaml:"grace"`     // after which nothing new goes to a draining or gone server
-	Slack    time.Duration `yaml:"slack"`     // by which a final answer may come after its client has left
-	Overload float64       `yaml:"overload"`  // sent more than this multiple of what it can do
-	FallTime time.Duration `yaml:"fall_time"` // for this time, a cold server falls over
+	Grace    time.Duration `yaml:"grace"`     // after learning that a server is draining or gone, time from which nothing new may go to it
+	Slack    time.Duration `yaml:"slack"`     // time by which a final answer may come after the client has left
+	Overload float64       `yaml:"overload"`  // multiple of its present capacity that a cold server withstands
+	FallTime time.Duration `yaml:"fall_time"` // a cold server crashes when sent more than Overload allows for this time
 }
 
-// Gossip is how instances talk, for arms that do.
+// Gossip holds the settings of the gossip between instances, for arms with gossip. Those that gossip.Config has too
+// mean the same.
 type Gossip struct {
 	ProbeEvery         time.Duration `yaml:"probe_every"`
 	ProbeTimeout       time.Duration `yaml:"probe_timeout"`
@@ -194,10 +196,10 @@
 	Datagram           yamlfile.Size `yaml:"datagram"`
 	DatagramsPerTell   int           `yaml:"datagrams_per_tell"`
 	BytesPerSecond     yamlfile.Size `yaml:"bytes_per_second"`
-	Warm               time.Duration `yaml:"warm"` // that instances gossip before the first op
+	Warm               time.Duration `yaml:"warm"` // time for which the instances gossip before the first op
 }
 
-// Default is a world of a few groups, three gateways and three op types, with nothing wrong in it.
+// Default returns a world with a few groups, three gateways and three op types.
 func Default() World {
 	return World{
 		Length:  30 * time.Second,
