--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -8,12 +8,12 @@
 	"gorsewell/choice"
 )
 
-// checker checks the five rules, which package choice lists, from outside the gateways. It sees which ops they accept,
-// send and answer, what the server list tells them and what servers do, and shares no code with the policies.
-// Violations go to Result.Broken, the first ones with a Story.
+// checker checks the five rules, which the documentation of package choice lists, from outside the gateways. It sees
+// which ops they accept, send and answer, what the server list says and what servers do, and shares no code with the
+// policies. Violations go to Result.Broken, the first ones with a Story.
 type checker struct {
 	sim   *simulation
-	known map[*gateway]map[*server]knownState // by gateway: what the list has told it of each server
+	known map[*gateway]map[*server]knownState // by gateway: each server as the list last described it
 }
 
 // knownState is the state of a server as a gateway last learned it from the list, for rule 3.
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -30,7 +30,7 @@
 	rng                    *rand.Rand // draws the requests; nothing that a gateway does changes its sequence
 	lastID                 uint64
 	openRequests           int
-	baseRate               float64                  // requests a second where the load factor is 1
+	baseRate               float64                  // requests a second at load factor 1
 	cumulativeShares       []float64                // of the op types, see pickWeighted
 	cumulativeGroupWeights []float64                // of the groups, see pickWeighted
 	recentWrites           [][]recentWrite          // by group
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -39,8 +39,8 @@
 	pools        []*connPool // index: server id - 1
 	watchesList  bool
 	lastListAt   time.Duration             // when the policy was last handed a list, changes or a failure
-	knownStarts  map[*server]time.Duration // by server: its latest start that the list has told
-	replicaSince map[*server]time.Duration // by server: when it first told that it is a replica, since it last told otherwise
+	knownStarts  map[*server]time.Duration // by server: its latest start according to the list
+	replicaSince map[*server]time.Duration // by server: when it first reported to be a replica, since it last reported otherwise
 	gossipNode   *instance                 // nil without gossip
 	listBuffer   []choice.Listed           // reused for each list
 }
@@ -585,7 +585,7 @@
 	}
 }
 
-// noteRole records the role that a server has told.
+// noteRole records the role that a server has reported.
 func (g *gateway) noteRole(s *server, role choice.Role) {
 	switch {
 	case role == choice.Primary:
--- a/internal/emulator/gossips.go
+++ b/internal/emulator/gossips.go
@@ -36,7 +36,7 @@
 	wakeCount          int    // calls of Wake; only the last one counts
 	currentSecond      int64  // in which it last sent
 	currentSecondBytes int64  // sent in currentSecond
-	liar               *liar  // nil unless it lies
+	liar               *liar  // nil unless it is one
 }
 
 func newGossipNetwork(sim *simulation) *gossipNetwork {
@@ -55,11 +55,11 @@
 }
 
 // config returns the settings of a node.
-func (gs *gossipNetwork) config(index int, generation int) gossip.Config {
-	settings := &gs.sim.world.Gossip
+func (net *gossipNetwork) config(index int, generation int) gossip.Config {
+	settings := &net.sim.world.Gossip
 	return gossip.Config{Name: fmt.Sprintf("g%04d", index), Key: gossip.KeyID{byte(index >> 8), byte(index), 1},
-		Run: mix(gs.sim.seed ^ uint64(index)<<16 ^ uint64(generation)), Seed: mix(gs.sim.seed + uint64(index)),
-		Addr: address(index), Seeds: []netip.AddrPort{address(0), address(min(1, gs.sim.world.Gateways.Count-1))},
+		Run: mix(net.sim.seed ^ uint64(index)<<16 ^ uint64(generation)), Seed: mix(net.sim.seed + uint64(index)),
+		Addr: address(index), Seeds: []netip.AddrPort{address(0), address(min(1, net.sim.world.Gateways.Count-1))},
 		ProbeEvery: settings.ProbeEvery, ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor,
 		TellEvery: settings.TellEvery, SyncEvery: settings.SyncEvery, RumourLife: settings.RumourLife,
 		Members: settings.Members, Rumours: settings.Rumours, RumoursPerObserver: settings.RumoursPerObserver,
@@ -68,20 +68,20 @@
 }
 
 // start returns the node of a gateway's present generation, which it creates if there is none yet.
-func (gs *gossipNetwork) start(g *gateway) *instance {
+func (net *gossipNetwork) start(g *gateway) *instance {
 	index := g.index
-	if previous := gs.instances[index]; previous != nil {
+	if previous := net.instances[index]; previous != nil {
 		if previous.generation == g.generation {
 			return previous
 		}
-		gs.endedCounts = addCounts(gs.endedCounts, previous.Counts())
+		net.endedCounts = addCounts(net.endedCounts, previous.Counts())
 	}
-	config := gs.config(index, g.generation)
-	n := &instance{network: gs, gateway: g, generation: g.generation, clockBase: gs.sim.now, name: config.Name,
+	config := net.config(index, g.generation)
+	n := &instance{network: net, gateway: g, generation: g.generation, clockBase: net.sim.now, name: config.Name,
 		key: config.Key, runID: config.Run}
 	n.Node = gossip.New(n, config)
-	gs.instances[index] = n
-	gs.sim.after(time.Duration(draw(gs.sim.seed, 0x90551, uint64(index), uint64(g.generation))*float64(time.Second)), func() {
+	net.instances[index] = n
+	net.sim.after(time.Duration(draw(net.sim.seed, 0x90551, uint64(index), uint64(g.generation))*float64(time.Second)), func() {
 		g.runIfAlive(n.generation, func() { n.Node.Start(n.localTime()) })
 	})
 	return n
@@ -225,14 +225,14 @@
 }
 
 // result returns the totals of the run, for rates since start.
-func (gs *gossipNetwork) result(start time.Duration) *GossipResult {
-	res := &GossipResult{False: gs.falselyDead, Counts: gs.endedCounts}
-	for _, n := range gs.instances {
+func (net *gossipNetwork) result(start time.Duration) *GossipResult {
+	res := &GossipResult{False: net.falselyDead, Counts: net.endedCounts}
+	for _, n := range net.instances {
 		if n != nil {
 			res.Counts = addCounts(res.Counts, n.Counts())
 		}
 	}
-	res.Sent = float64(gs.sentBytes) / (gs.sim.now - start).Seconds() / float64(len(gs.instances))
-	res.WorstSent = float64(gs.worstSecondBytes)
+	res.Sent = float64(net.sentBytes) / (net.sim.now - start).Seconds() / float64(len(net.instances))
+	res.WorstSent = float64(net.worstSecondBytes)
 	return res
 }
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -14,7 +14,7 @@
 	members       []*server
 	primary       *server         // nil while there is none
 	primaryLostAt time.Duration   // when the last primary was lost
-	commits       []time.Duration // times of the newest, for members that come back
+	commits       []time.Duration // times of the newest commits, for members that come back
 	electing      bool
 	term          int               // increases when a primary takes over, or returns before it was given up
 	tokens        map[uint64]*token // by request id
@@ -167,18 +167,18 @@
 type listEntry struct {
 	server    *server
 	state     choice.State
-	primary   bool // always false unless the list tells roles
+	primary   bool // always false unless the list includes roles
 	startedAt time.Duration
 }
 
-// discoveryService tells the gateways of servers, with delays.
+// discoveryService keeps the list of servers and sends it to the gateways, with delays.
 type discoveryService struct {
 	sim         *simulation
 	entries     map[*server]*listEntry
 	ordered     []*listEntry             // the same in order of arrival
 	down        bool                     // answers no request
 	frozen      bool                     // does not update the list
-	falseStates map[*server]choice.State // told instead of the true states
+	falseStates map[*server]choice.State // sent instead of the true states
 	busyUntil   time.Duration            // with the requests that it has received
 }
 
@@ -202,7 +202,7 @@
 	})
 }
 
-// update takes a server's present state into the list and pushes it to those who watch.
+// update brings a server's entry up to date and pushes it to the gateways that watch.
 func (d *discoveryService) update(s *server) {
 	if d.frozen {
 		return
@@ -226,7 +226,7 @@
 	d.push([]*listEntry{e})
 }
 
-// updateRoles updates who is primary, if the list tells roles late.
+// updateRoles brings the roles in the list up to date, if List.Roles is late, and pushes the changes.
 func (d *discoveryService) updateRoles() {
 	if d.sim.world.List.Roles != "late" || d.frozen {
 		return
@@ -261,7 +261,7 @@
 	}
 }
 
-// snapshot copies the entries as they are told now, false states included.
+// snapshot copies entries as they are sent now, false states included.
 func (d *discoveryService) snapshot(entries []*listEntry) []listEntry {
 	copies := make([]listEntry, 0, len(entries))
 	for _, e := range entries {
--- a/internal/emulator/liar.go
+++ b/internal/emulator/liar.go
@@ -17,7 +17,7 @@
 	variant     string // one of LiarVariants
 	rng         *rand.Rand
 	lastNumber  uint32
-	turn        int                    // goes over the targets of the lies
+	turn        int                    // goes over the servers, groups and names that the false gossip is about
 	keptRumours []gossip.RelayedRumour // of others, to be replayed later
 	keptAt      []time.Duration        // when each of keptRumours was received
 	stopped     bool
@@ -27,18 +27,18 @@
 var Lies = []string{"primaries", "all", "accuse", "replay", "future", "contradict", "praise", "names"}
 
 // startLiars makes liars of some instances until the returned function is called.
-func (gs *gossipNetwork) startLiars(f *Fault, gateways []*gateway) (end func()) {
+func (net *gossipNetwork) startLiars(f *Fault, gateways []*gateway) (end func()) {
 	var liars []*liar
 	for i, g := range gateways {
 		variant := f.How
 		if variant == "" || variant == "mixed" {
 			variant = Lies[i%len(Lies)]
 		}
-		l := &liar{instance: gs.instances[g.index], variant: variant,
-			rng: rand.New(rand.NewPCG(gs.sim.seed, 0x11a4+uint64(g.index))), lastNumber: 1 << 20}
+		l := &liar{instance: net.instances[g.index], variant: variant,
+			rng: rand.New(rand.NewPCG(net.sim.seed, 0x11a4+uint64(g.index))), lastNumber: 1 << 20}
 		l.instance.liar = l
 		liars = append(liars, l)
-		l.lieRepeatedly()
+		l.sendRepeatedly()
 	}
 	return func() {
 		for _, l := range liars {
@@ -48,21 +48,21 @@
 	}
 }
 
-// lieRepeatedly sends lies every Gossip.TellEvery.
-func (l *liar) lieRepeatedly() {
+// sendRepeatedly sends false gossip every Gossip.TellEvery.
+func (l *liar) sendRepeatedly() {
 	if l.stopped {
 		return
 	}
 	if !l.instance.gateway.down && l.instance.gateway.generation == l.instance.generation {
 		for range 5 {
-			l.sendLies()
+			l.sendFalseGossip()
 		}
 	} else if n := l.instance.network.instances[l.instance.gateway.index]; n != nil && n != l.instance {
 		// It goes on after a restart of the instance.
 		l.instance = n
 		n.liar = l
 	}
-	l.instance.network.sim.after(l.instance.network.sim.world.Gossip.TellEvery, l.lieRepeatedly)
+	l.instance.network.sim.after(l.instance.network.sim.world.Gossip.TellEvery, l.sendRepeatedly)
 }
 
 // keepRumours keeps the newest 500 rumours that others have signed.
@@ -84,8 +84,8 @@
 		Server: uint64(server), Symptom: symptom, Strength: 255, Number: l.lastNumber, Made: l.instance.localTime()}}
 }
 
-// sendLies sends one datagram of lies to a random instance, or none if it draws its own.
-func (l *liar) sendLies() {
+// sendFalseGossip sends one datagram to a random instance, or none if it draws its own.
+func (l *liar) sendFalseGossip() {
 	sim := l.instance.network.sim
 	to := l.rng.IntN(len(sim.gateways))
 	if to == l.instance.gateway.index {
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -59,7 +59,7 @@
 	Asked   int64
 	Acked   int64 // within the latency target
 	Late    int64 // acked after the latency target
-	Failed  int64 // not acked before the client left
+	Failed  int64 // given up by the client, or acked after it had left
 	Value   float64
 	Earned  float64
 	Latency *hdrhistogram.Histogram // of acks, in microseconds, from the first try
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -41,7 +41,7 @@
 	cuts       []*networkCut  // under way
 	gossipNet  *gossipNetwork // nil without gossip
 	result     *Result
-	meanWork   time.Duration // of an op
+	meanWork   time.Duration // mean work of an op
 	faults     []*Fault
 	testPolicy func(g *gateway) policy // in tests: makes the policy instead of the arm
 }
@@ -51,7 +51,7 @@
 	OpType
 	index  int
 	need   choice.Need
-	config choice.OpType // as the gateways are told it
+	config choice.OpType // as the gateways are configured
 }
 
 // Run simulates a world with its faults, which need not be in order of time. It returns an error if the world or a
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	sim.play()
+	sim.run()
 	return sim.result, nil
 }
 
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	sim.result.tracedOp = op
-	sim.play()
+	sim.run()
 	return sim.result, nil
 }
 
@@ -96,7 +96,7 @@
 		work += t.Share * float64(t.Work)
 	}
 	sim.meanWork = time.Duration(work / shares)
-	sim.checks = checksOf[world.Reports.Checks]
+	sim.checks = serverChecks[world.Reports.Checks]
 	sim.result = newResult(sim)
 	sim.checker = newChecker(sim)
 	sim.discovery = &discoveryService{sim: sim, entries: map[*server]*listEntry{}, falseStates: map[*server]choice.State{}}
@@ -130,8 +130,8 @@
 	return sim, nil
 }
 
-// play runs the simulation to its end.
-func (sim *simulation) play() {
+// run runs the simulation to its end.
+func (sim *simulation) run() {
 	// The instances have found one another before the first op. In every arm ops begin at that time, so that runs can be
 	// compared.
 	start := sim.world.Gossip.Warm
@@ -230,16 +230,16 @@
 	return true
 }
 
-// The values of the words in a world.
+// The values that the words in a World stand for.
 var (
 	needs = map[string]choice.Need{"write": choice.Write, "fresh": choice.Fresh, "session": choice.Session, "bounded": choice.Bounded,
 		"any": choice.Any}
-	effects  = map[string]choice.Effect{"retryable": choice.Retryable, "tokened": choice.Tokened, "non_retryable": choice.NonRetryable}
-	scopes   = map[string]choice.Scope{"group": choice.ScopeGroup, "zone": choice.ScopeZone, "all": choice.ScopeAll}
-	checksOf = map[string]choice.Checks{"none": choice.Unchecked, "refuses": choice.Refuses, "waits": choice.Waits}
+	effects      = map[string]choice.Effect{"retryable": choice.Retryable, "tokened": choice.Tokened, "non_retryable": choice.NonRetryable}
+	scopes       = map[string]choice.Scope{"group": choice.ScopeGroup, "zone": choice.ScopeZone, "all": choice.ScopeAll}
+	serverChecks = map[string]choice.Checks{"none": choice.Unchecked, "refuses": choice.Refuses, "waits": choice.Waits}
 )
 
-// deployment returns what a gateway is told at its start.
+// deployment returns the description of its surroundings that a gateway gets at its start.
 func (sim *simulation) deployment(g *gateway) *choice.Deployment {
 	world := &sim.world
 	d := &choice.Deployment{Gateways: world.Gateways.Count, Seed: mix(sim.seed ^ uint64(g.index)<<20 ^ uint64(g.generation)),
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -110,7 +110,7 @@
 		}
 		return p
 	}
-	sim.play()
+	sim.run()
 	return sim.result
 }
 
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -35,7 +35,7 @@
 	errorShare      float64       // share of ops that end in an error
 	refusing        bool          // it refuses all ops as if it were full
 	probeErrorShare float64       // share of probes that fail although ops are served
-	positionLead    time.Duration // by which the position that it tells is ahead of the true one
+	positionLead    time.Duration // by which the reported position is ahead of the true one
 	applySlowdown   float64       // factor on the time that applying the log takes, 1 without faults
 	connectionLimit int           // replaces Servers.Conns unless 0
 	startedAt       time.Duration // longAgo: before the run
@@ -84,7 +84,7 @@
 
 func (s *server) isPrimary() bool { return s.group.primary == s }
 
-// role returns the role that the server tells.
+// role returns the role that the server reports.
 func (s *server) role() choice.Role {
 	if s.isPrimary() {
 		return choice.Primary
@@ -107,7 +107,7 @@
 	return max(s.appliedTo, s.group.primaryLostAt-s.sim.world.Log.Ship)
 }
 
-// reportedPosition returns the position that the server tells.
+// reportedPosition returns the position that the server reports, which the fault lying_position falsifies.
 func (s *server) reportedPosition() time.Duration { return s.position() + s.positionLead }
 
 // commit is called when the primary has committed a write.
@@ -174,8 +174,7 @@
 	}
 }
 
-// arrive handles an attempt that has come in whole. Attempts to servers that do not run are answered before by the
-// network.
+// arrive handles an attempt that has been received in full. It is not called if the server is down.
 func (s *server) arrive(a *attempt) {
 	if s.hung {
 		s.deferred = append(s.deferred, func() { s.arrive(a) })
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -89,7 +89,7 @@
 	Hand   time.Duration `yaml:"hand"`   // time until a draining primary has handed over
 }
 
-// List describes the discovery service, which tells the gateways of servers.
+// List describes the discovery service, which keeps the list of servers.
 type List struct {
 	Asked     bool          `yaml:"asked"`      // the list is sent only when requested, else changes are pushed
 	Down      time.Duration `yaml:"down"`       // delay until the end of a process is noticed
@@ -98,12 +98,12 @@
 	Spread    time.Duration `yaml:"spread"`     // over which the gateways learn of a change
 	Call      time.Duration `yaml:"call"`       // time that one request keeps the service busy
 	Timeout   time.Duration `yaml:"timeout"`    // after which a request has failed
-	Roles     string        `yaml:"roles"`      // whether it tells who is primary: none, start (who was at the start) or late
-	RolesLate time.Duration `yaml:"roles_late"` // delay with which it tells that, if late
+	Roles     string        `yaml:"roles"`      // which primaries it names: none, those at the start (start), or the present ones with a delay (late)
+	RolesLate time.Duration `yaml:"roles_late"` // that delay
 	Within    time.Duration `yaml:"ask_within"` // a gateway that has not requested the list for this time counts as knowing it
 }
 
-// Reports describes what servers tell of themselves.
+// Reports describes what servers report of themselves.
 type Reports struct {
 	Answers  bool          `yaml:"answers"`  // answers carry the role and the position
 	Probes   bool          `yaml:"probes"`   // probe answers carry the role and the position
@@ -172,7 +172,7 @@
 		Bound: 200 * time.Millisecond}
 }
 
-// Rules holds the limits by which the checker judges a run. The decision module is told some of them.
+// Rules holds the limits by which the checker judges a run. The decision module gets some of them, too.
 type Rules struct {
 	Grace    time.Duration `yaml:"grace"`     // after learning that a server is draining or gone, time from which nothing new may go to it
 	Slack    time.Duration `yaml:"slack"`     // time by which a final answer may come after the client has left
