--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -9,49 +9,52 @@
 	"gorsewell/choice"
 )
 
-// Fault is one thing that goes wrong, for a time.
+// Fault is one fault that is injected into a run, for a time.
 type Fault struct {
 	Kind  string        `yaml:"kind"`
-	At    time.Duration `yaml:"at"`    // after the first op
-	For   time.Duration `yaml:"for"`   // 0: to the end
-	Share float64       `yaml:"share"` // of what it can strike; at least one
-	Count int           `yaml:"count"` // of what it can strike, where share says nothing
-	Of    string        `yaml:"of"`    // all, primaries or replicas
-	Zone  int           `yaml:"zone"`  // only there, counted from 1; 0: anywhere
-	Group int           `yaml:"group"` // only there, counted from 1; 0: anywhere
-	Size  float64       `yaml:"size"`  // how much; what that means depends on the kind
-	Back  time.Duration `yaml:"back"`  // until what was struck is there again, for kinds that say so
-	Every time.Duration `yaml:"every"` // strikes again and again, others each time; 0: once
-	How   string        `yaml:"how"`   // a variant, for kinds that have some
+	At    time.Duration `yaml:"at"`    // counted from the first op
+	For   time.Duration `yaml:"for"`   // how long it lasts; 0: to the end
+	Share float64       `yaml:"share"` // of the possible targets, rounded; at least one is struck
+	Count int           `yaml:"count"` // number of targets if Share is 0; at least one is struck
+	Of    string        `yaml:"of"`    // servers to strike: all, primaries or replicas
+	Zone  int           `yaml:"zone"`  // strikes only servers of this zone, counted from 1; 0: of any
+	Group int           `yaml:"group"` // strikes only servers of this group, counted from 1; 0: of any
+	Size  float64       `yaml:"size"`  // how strong it is; the meaning depends on the kind; 0: the default of the kind
+	Back  time.Duration `yaml:"back"`  // time until the targets are back, for kinds that say so
+	Every time.Duration `yaml:"every"` // period after which it strikes again, with targets drawn anew; 0: once
+	How   string        `yaml:"how"`   // variant, for kinds that have variants
 
-	order int
-	rng   *rand.Rand
-	kind  *kind
+	order int        // among the faults of the run
+	rng   *rand.Rand // its own, so that no other fault changes what it does
+	kind  *faultKind
 }
 
-// kind is what a fault does.
-type kind struct {
-	doc     string
-	size    float64 // where the file says nothing
-	strikes strikes
-	begin   func(f *Fault, r *run, servers []*server, gateways []*gateway) (end func())
+// faultKind is what a kind of fault does.
+type faultKind struct {
+	doc         string
+	defaultSize float64 // of Fault.Size
+	target      targetKind
+	// begin starts the fault at its targets. end stops it.
+	begin func(f *Fault, sim *simulation, servers []*server, gateways []*gateway) (end func())
 }
 
-// strikes is what a fault is aimed at.
-type strikes uint8
+// targetKind says what a fault strikes.
+type targetKind uint8
 
 const (
-	nothing strikes = iota
-	someServers
-	someGateways
-	both
+	targetNone targetKind = iota
+	targetServers
+	targetGateways
+	targetBoth
 )
 
-var kinds = map[string]*kind{}
+// faultKinds holds the kinds of faults by name.
+var faultKinds = map[string]*faultKind{}
 
 func init() {
-	each := func(do func(f *Fault, s *server) func()) func(*Fault, *run, []*server, []*gateway) func() {
-		return func(f *Fault, _ *run, servers []*server, _ []*gateway) func() {
+	// forEachServer makes a begin function from one that strikes a single server and returns what undoes it.
+	forEachServer := func(do func(f *Fault, s *server) func()) func(*Fault, *simulation, []*server, []*gateway) func() {
+		return func(f *Fault, _ *simulation, servers []*server, _ []*gateway) func() {
 			var ends []func()
 			for _, s := range servers {
 				ends = append(ends, do(f, s))
@@ -63,101 +66,121 @@
 			}
 		}
 	}
-	kinds["crash"] = &kind{doc: "processes end; they start again, cold, at the fault's end", strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.crash(crashed); return s.start })}
-	kinds["vanish"] = &kind{doc: "machines fall silent; they are back, cold, at the fault's end", strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.crash(vanished); return s.start })}
-	kinds["hang"] = &kind{doc: "servers take ops and answer none until the fault's end", strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.freezes(true); return func() { s.freezes(false) } })}
-	kinds["slow"] = &kind{doc: "all work takes size times as long", size: 5, strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.slow *= f.Size; return func() { s.slow /= f.Size } })}
-	kinds["error"] = &kind{doc: "a share of ops, size, ends with an error", size: 0.6, strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.fails = f.Size; return func() { s.fails = 0 } })}
-	kinds["refuse"] = &kind{doc: "servers turn all ops away as if they were full", strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.refuses = true; return func() { s.refuses = false } })}
-	kinds["slow_apply"] = &kind{doc: "replicas apply the log size times as slowly", size: 8, strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.slowLog *= f.Size; return func() { s.slowLog /= f.Size } })}
-	kinds["lying_position"] = &kind{doc: "servers tell a position that is size seconds too far ahead; reads from them may be stale", size: 1,
-		strikes: someServers, begin: each(func(f *Fault, s *server) func() {
-			s.lies = time.Duration(f.Size * float64(time.Second))
-			return func() { s.lies = 0 }
+	faultKinds["crash"] = &faultKind{doc: "server processes end; they start again, cold, at the end of the fault",
+		target: targetServers,
+		begin:  forEachServer(func(f *Fault, s *server) func() { s.crash(serverCrashed); return s.start })}
+	faultKinds["vanish"] = &faultKind{doc: "machines stop answering; they are back, cold, at the end of the fault",
+		target: targetServers,
+		begin:  forEachServer(func(f *Fault, s *server) func() { s.crash(serverVanished); return s.start })}
+	faultKinds["hang"] = &faultKind{doc: "servers accept ops and answer none until the end of the fault",
+		target: targetServers,
+		begin:  forEachServer(func(f *Fault, s *server) func() { s.setHung(true); return func() { s.setHung(false) } })}
+	faultKinds["slow"] = &faultKind{doc: "all work takes size times as long", defaultSize: 5, target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() { s.slowdown *= f.Size; return func() { s.slowdown /= f.Size } })}
+	faultKinds["error"] = &faultKind{doc: "a share size of all ops ends in an error",
+		defaultSize: 0.6, target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() { s.errorShare = f.Size; return func() { s.errorShare = 0 } })}
+	faultKinds["refuse"] = &faultKind{doc: "servers refuse all ops as if they were full", target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() { s.refusing = true; return func() { s.refusing = false } })}
+	faultKinds["slow_apply"] = &faultKind{doc: "replicas take size times as long to apply the log",
+		defaultSize: 8, target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() {
+			s.applySlowdown *= f.Size
+			return func() { s.applySlowdown /= f.Size }
 		})}
-	kinds["probe_fail"] = &kind{doc: "a share of probes, size, fails while ops are served", size: 1, strikes: someServers,
-		begin: each(func(f *Fault, s *server) func() { s.badProbe = f.Size; return func() { s.badProbe = 0 } })}
-	kinds["squeeze"] = &kind{doc: "servers take size connections for each gateway over all servers, and close idle ones", size: 3, strikes: someServers,
-		begin: func(f *Fault, r *run, servers []*server, _ []*gateway) func() {
+	faultKinds["lying_position"] = &faultKind{doc: "servers report a position that is size seconds ahead of the true one; reads from them may be stale",
+		defaultSize: 1,
+		target:      targetServers, begin: forEachServer(func(f *Fault, s *server) func() {
+			s.positionLead = time.Duration(f.Size * float64(time.Second))
+			return func() { s.positionLead = 0 }
+		})}
+	faultKinds["probe_fail"] = &faultKind{doc: "a share size of all probes fails while ops are served",
+		defaultSize: 1, target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() { s.probeErrorShare = f.Size; return func() { s.probeErrorShare = 0 } })}
+	faultKinds["squeeze"] = &faultKind{doc: "servers accept only their share of size connections for each gateway, plus one for each core, and close unused ones",
+		defaultSize: 3, target: targetServers,
+		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
-				s.squeezed = max(1, int(f.Size*float64(len(r.gateways))/float64(len(r.servers)))) + s.cores
-				r.closeIdle(s)
+				s.connectionLimit = max(1, int(f.Size*float64(len(sim.gateways))/float64(len(sim.servers)))) + s.cores
+				sim.closeIdleConnections(s)
 			}
 			return func() {
 				for _, s := range servers {
-					s.squeezed = 0
+					s.connectionLimit = 0
 				}
 			}
 		}}
-	kinds["neighbour"] = &kind{doc: "another program takes a share of the machine, size, on and off", size: 0.5, strikes: someServers, begin: neighbour}
-	kinds["drain"] = &kind{doc: "servers drain and end; successors under new ids start cold after back", strikes: someServers, begin: roll}
-	kinds["deploy"] = &kind{doc: "a rolling deploy over the fault's time: servers drain one after another, a share of size at a time", size: 0.1,
-		strikes: someServers, begin: roll}
-	kinds["mass_restart"] = &kind{doc: "servers end at once and are back, cold, after back", strikes: someServers,
-		begin: func(f *Fault, r *run, servers []*server, _ []*gateway) func() {
+	faultKinds["neighbour"] = &faultKind{doc: "another program takes a share size of the machine, on and off",
+		defaultSize: 0.5, target: targetServers, begin: slowByNeighbour}
+	faultKinds["drain"] = &faultKind{doc: "servers drain and end; replacements under new ids start, cold, after back",
+		target: targetServers, begin: replaceServers}
+	faultKinds["deploy"] = &faultKind{doc: "a rolling deploy over the time of the fault: servers drain and are replaced, a share size at a time",
+		defaultSize: 0.1,
+		target:      targetServers, begin: replaceServers}
+	faultKinds["mass_restart"] = &faultKind{doc: "servers end all at once and are back, cold, after back",
+		target: targetServers,
+		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
-				s.crash(crashed)
-				r.after(max(f.Back, time.Second)+time.Duration(f.rng.Int64N(int64(500*time.Millisecond))), s.start)
+				s.crash(serverCrashed)
+				sim.after(max(f.Back, time.Second)+time.Duration(f.rng.Int64N(int64(500*time.Millisecond))), s.start)
 			}
 			return func() {}
 		}}
-	kinds["burst"] = &kind{doc: "ops come in at size times the rate", size: 1.8, strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
-			r.clients.bursts = append(r.clients.bursts, f)
-			return func() { r.clients.bursts = slices.DeleteFunc(r.clients.bursts, func(b *Fault) bool { return b == f }) }
+	faultKinds["burst"] = &faultKind{doc: "ops come in at size times the usual rate",
+		defaultSize: 1.8, target: targetNone,
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			sim.clients.bursts = append(sim.clients.bursts, f)
+			return func() {
+				sim.clients.bursts = slices.DeleteFunc(sim.clients.bursts, func(b *Fault) bool { return b == f })
+			}
 		}}
-	kinds["list_down"] = &kind{doc: "the list answers nobody and ends all watches", strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
-			r.lists.breaks(true)
-			return func() { r.lists.breaks(false) }
+	faultKinds["list_down"] = &faultKind{doc: "discovery answers no request and ends all watches", target: targetNone,
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			sim.discovery.setDown(true)
+			return func() { sim.discovery.setDown(false) }
 		}}
-	kinds["list_silent"] = &kind{doc: "watches that are open hear nothing more; each instance gives its own up after a while", strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
-			r.lists.silence()
+	faultKinds["list_silent"] = &faultKind{doc: "open watches receive nothing more; each instance gives up its own after a few seconds",
+		target: targetNone,
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			sim.discovery.silenceWatches()
 			return func() {}
 		}}
-	kinds["list_frozen"] = &kind{doc: "the list goes on telling what it knew", strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
-			r.lists.frozen = true
+	faultKinds["list_frozen"] = &faultKind{doc: "discovery does not update its list", target: targetNone,
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			sim.discovery.frozen = true
 			return func() {
-				r.lists.frozen = false
-				for _, s := range r.servers {
-					r.lists.note(s)
+				sim.discovery.frozen = false
+				for _, s := range sim.servers {
+					sim.discovery.update(s)
 				}
 			}
 		}}
-	kinds["list_wrong"] = &kind{doc: "the list calls servers gone that run", strikes: someServers,
-		begin: func(f *Fault, r *run, servers []*server, _ []*gateway) func() {
-			tell := func() {
+	faultKinds["list_wrong"] = &faultKind{doc: "discovery lists running servers as gone", target: targetServers,
+		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
+			push := func() {
 				for _, s := range servers {
-					if e := r.lists.lines[s]; e != nil {
-						r.lists.tell([]*line{e})
+					if e := sim.discovery.entries[s]; e != nil {
+						sim.discovery.push([]*listEntry{e})
 					}
 				}
 			}
 			for _, s := range servers {
-				r.lists.wrong[s] = choice.Gone
+				sim.discovery.falseStates[s] = choice.Gone
 			}
-			tell()
+			push()
 			return func() {
 				for _, s := range servers {
-					delete(r.lists.wrong, s)
+					delete(sim.discovery.falseStates, s)
 				}
-				tell()
+				push()
 			}
 		}}
-	kinds["gateway_crash"] = &kind{doc: "instances end at once and are back after back, with nothing but their list", strikes: someGateways,
-		begin: func(f *Fault, r *run, _ []*server, gateways []*gateway) func() {
+	faultKinds["gateway_crash"] = &faultKind{doc: "instances crash and are back after back, with no state but the cached server list",
+		target: targetGateways,
+		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
 				g.crash()
-				r.after(max(f.Back, 100*time.Millisecond), func() {
+				sim.after(max(f.Back, 100*time.Millisecond), func() {
 					if g.down {
 						g.start()
 					}
@@ -165,8 +188,8 @@
 			}
 			return func() {}
 		}}
-	kinds["gateway_pause"] = &kind{doc: "instances stand still for back", strikes: someGateways,
-		begin: func(f *Fault, r *run, _ []*server, gateways []*gateway) func() {
+	faultKinds["gateway_pause"] = &faultKind{doc: "instances are suspended for back", target: targetGateways,
+		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
 				if !g.down {
 					g.pause(max(f.Back, 100*time.Millisecond))
@@ -174,12 +197,13 @@
 			}
 			return func() {}
 		}}
-	kinds["gateway_roll"] = &kind{doc: "instances end one after another over the fault's time and are back after back", strikes: someGateways,
-		begin: func(f *Fault, r *run, _ []*server, gateways []*gateway) func() {
+	faultKinds["gateway_roll"] = &faultKind{doc: "instances crash one after another over the time of the fault, and each is back after back",
+		target: targetGateways,
+		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for i, g := range gateways {
-				r.after(time.Duration(int64(f.For)*int64(i)/int64(len(gateways))), func() {
+				sim.after(time.Duration(int64(f.For)*int64(i)/int64(len(gateways))), func() {
 					g.crash()
-					r.after(max(f.Back, 100*time.Millisecond), func() {
+					sim.after(max(f.Back, 100*time.Millisecond), func() {
 						if g.down {
 							g.start()
 						}
@@ -188,105 +212,109 @@
 			}
 			return func() {}
 		}}
-	kinds["one_sided"] = &kind{doc: "a share of the instances, size, cannot reach the servers struck", size: 0.5, strikes: someServers,
-		begin: func(f *Fault, r *run, servers []*server, _ []*gateway) func() {
-			c := &cut{gateways: map[int]bool{}, servers: map[int]bool{}, toServer: f.How != "answers", toInstance: f.How != "sends"}
-			for _, i := range f.rng.Perm(len(r.gateways))[:max(1, int(f.Size*float64(len(r.gateways))))] {
-				c.gateways[i] = true
+	faultKinds["one_sided"] = &faultKind{doc: "a share size of the instances and the struck servers cannot reach each other; how: sends or answers, then only these are lost",
+		defaultSize: 0.5, target: targetServers,
+		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
+			cut := &networkCut{gateways: map[int]bool{}, servers: map[int]bool{}, toServer: f.How != "answers", toInstance: f.How != "sends"}
+			for _, i := range f.rng.Perm(len(sim.gateways))[:max(1, int(f.Size*float64(len(sim.gateways))))] {
+				cut.gateways[i] = true
 			}
 			for _, s := range servers {
-				c.servers[int(s.id)] = true
+				cut.servers[int(s.id)] = true
 			}
-			return r.cut(c)
+			return sim.addCut(cut)
 		}}
-	kinds["partition"] = &kind{doc: "a share of the instances, size, and the others do not hear each other; how: one_way, then only the others do not hear it",
-		size: 0.5, strikes: nothing, begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
-			in, out := map[int]bool{}, map[int]bool{}
-			for i, g := range f.rng.Perm(len(r.gateways)) {
-				if i < int(f.Size*float64(len(r.gateways))) {
-					in[g] = true
+	faultKinds["partition"] = &faultKind{doc: "a share size of the instances and the others cannot gossip with each other; how: one_way, then only what the others send arrives",
+		defaultSize: 0.5, target: targetNone, begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			sideA, sideB := map[int]bool{}, map[int]bool{}
+			for i, g := range f.rng.Perm(len(sim.gateways)) {
+				if i < int(f.Size*float64(len(sim.gateways))) {
+					sideA[g] = true
 				} else {
-					out[g] = true
+					sideB[g] = true
 				}
 			}
-			end := r.cut(&cut{among: true, fromGateway: in, toGateway: out})
-			back := func() {}
+			end := sim.addCut(&networkCut{betweenGateways: true, fromGateways: sideA, toGateways: sideB})
+			endOther := func() {}
 			if f.How != "one_way" {
-				back = r.cut(&cut{among: true, fromGateway: out, toGateway: in})
+				endOther = sim.addCut(&networkCut{betweenGateways: true, fromGateways: sideB, toGateways: sideA})
 			}
-			return func() { end(); back() }
+			return func() { end(); endOther() }
 		}}
-	kinds["network"] = &kind{doc: "a share of datagrams, size, is lost; as many come twice and as many late", size: 0.1, strikes: nothing,
-		begin: func(f *Fault, r *run, _ []*server, _ []*gateway) func() {
-			n := &r.world.Network
-			old := *n
-			n.Loss, n.Twice, n.Reorder = f.Size, f.Size, f.Size
-			return func() { n.Loss, n.Twice, n.Reorder = old.Loss, old.Twice, old.Reorder }
+	faultKinds["network"] = &faultKind{doc: "a share size of all datagrams is lost; as many arrive twice and as many late",
+		defaultSize: 0.1, target: targetNone,
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+			network := &sim.world.Network
+			before := *network
+			network.Loss, network.Twice, network.Reorder = f.Size, f.Size, f.Size
+			return func() { network.Loss, network.Twice, network.Reorder = before.Loss, before.Twice, before.Reorder }
 		}}
-	kinds["liar"] = &kind{doc: "instances lie in the gossip; how: primaries, all, accuse, replay, future, contradict, praise or mixed", strikes: someGateways,
-		begin: func(f *Fault, r *run, _ []*server, gateways []*gateway) func() {
-			if r.gossips == nil {
+	faultKinds["liar"] = &faultKind{doc: "instances send false gossip; how: primaries, all, accuse, replay, future, contradict, praise or mixed",
+		target: targetGateways,
+		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
+			if sim.gossipNet == nil {
 				return func() {}
 			}
-			return r.gossips.lie(f, gateways)
+			return sim.gossipNet.startLiars(f, gateways)
 		}}
 }
 
-// FaultKinds lists the kinds by name, with what each does.
-func FaultKinds() (names []string, docs map[string]string) {
-	docs = map[string]string{}
-	for name, k := range kinds {
+// FaultKinds returns the names of the kinds of faults, sorted, and a description of each.
+func FaultKinds() (names []string, descriptions map[string]string) {
+	descriptions = map[string]string{}
+	for name, k := range faultKinds {
 		names = append(names, name)
-		docs[name] = k.doc
+		descriptions[name] = k.doc
 	}
 	slices.Sort(names)
-	return names, docs
+	return names, descriptions
 }
 
-// cut cuts a way until the returned function is called.
-func (r *run) cut(c *cut) func() {
-	r.cuts = append(r.cuts, c)
+// addCut cuts part of the network until the returned function is called.
+func (sim *simulation) addCut(cut *networkCut) func() {
+	sim.cuts = append(sim.cuts, cut)
 	return func() {
-		r.cuts = slices.DeleteFunc(r.cuts, func(x *cut) bool { return x == c })
+		sim.cuts = slices.DeleteFunc(sim.cuts, func(x *networkCut) bool { return x == cut })
 	}
 }
 
-// closeIdle closes all connections to a server that are not in use.
-func (r *run) closeIdle(s *server) {
-	for _, g := range r.gateways {
-		if int(s.id) <= len(g.links) && g.links[s.id-1] != nil && g.links[s.id-1].life == s.life {
-			l := g.links[s.id-1]
-			s.open -= len(l.idle)
-			l.idle = nil
+// closeIdleConnections closes the unused connections of all gateways to a server.
+func (sim *simulation) closeIdleConnections(s *server) {
+	for _, g := range sim.gateways {
+		if int(s.id) <= len(g.pools) && g.pools[s.id-1] != nil && g.pools[s.id-1].generation == s.generation {
+			pool := g.pools[s.id-1]
+			s.openConnections -= len(pool.idleSince)
+			pool.idleSince = nil
 		}
 	}
 }
 
-// neighbour slows machines down, on and off.
-func neighbour(f *Fault, r *run, servers []*server, _ []*gateway) func() {
-	over := false
+// slowByNeighbour slows machines down, on and off, as another program on the same machine would.
+func slowByNeighbour(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
+	ended := false
 	factor := 1 / (1 - min(0.95, f.Size))
 	for _, s := range servers {
-		on := false
-		var turn func()
-		turn = func() {
-			if on {
-				s.slow /= factor
+		slowed := false
+		var toggle func()
+		toggle = func() {
+			if slowed {
+				s.slowdown /= factor
 			}
-			if on = !on && !over; on {
-				s.slow *= factor
+			if slowed = !slowed && !ended; slowed {
+				s.slowdown *= factor
 			}
-			if !over {
-				r.after(time.Duration((0.5+f.rng.Float64())*float64(2*time.Second)), turn)
+			if !ended {
+				sim.after(time.Duration((0.5+f.rng.Float64())*float64(2*time.Second)), toggle)
 			}
 		}
-		turn()
+		toggle()
 	}
-	return func() { over = true }
+	return func() { ended = true }
 }
 
-// roll replaces servers, so many at a time, over the fault's time.
-func roll(f *Fault, r *run, servers []*server, _ []*gateway) func() {
+// replaceServers drains servers and replaces them, spread over the fault's time. A deploy replaces a share Size of
+// them at a time.
+func replaceServers(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 	atOnce := len(servers)
 	if f.Kind == "deploy" {
 		atOnce = max(1, int(f.Size*float64(len(servers))))
@@ -297,99 +325,100 @@
 		if f.For > 0 && steps > 1 {
 			after = f.For / time.Duration(steps) * time.Duration(i/atOnce)
 		}
-		r.after(after, func() {
-			if !s.runs() || s.draining {
+		sim.after(after, func() {
+			if !s.isUp() || s.draining {
 				return
 			}
-			s.drains()
-			r.after(max(f.Back, 500*time.Millisecond), func() { s.group.replace(s) })
+			s.drain()
+			sim.after(max(f.Back, 500*time.Millisecond), func() { s.group.replace(s) })
 		})
 	}
 	return func() {}
 }
 
-// ready checks a fault and gives it its own chance.
-func (f *Fault) ready(r *run, order int) error {
-	f.kind = kinds[f.Kind]
+// prepare checks the kind of a fault and gives the fault its defaults and its own source of random numbers.
+func (f *Fault) prepare(sim *simulation, order int) error {
+	f.kind = faultKinds[f.Kind]
 	if f.kind == nil {
-		return fmt.Errorf("faults[%d].kind: %q is no fault", order, f.Kind)
+		return fmt.Errorf("faults[%d].kind: unknown kind of fault %q", order, f.Kind)
 	}
 	if f.Size == 0 {
-		f.Size = f.kind.size
+		f.Size = f.kind.defaultSize
 	}
 	f.order = order
-	f.rng = rand.New(rand.NewPCG(r.seed, 0xfa01+uint64(order)))
+	f.rng = rand.New(rand.NewPCG(sim.seed, 0xfa01+uint64(order)))
 	return nil
 }
 
-// plan lets the fault strike at its time, counted from the first op.
-func (f *Fault) plan(r *run, start time.Duration) {
+// schedule lets the fault strike at its time, which counts from the first op at start.
+func (f *Fault) schedule(sim *simulation, start time.Duration) {
 	var strike func()
 	strike = func() {
-		servers, gateways := f.targets(r)
-		r.event("%s begins%s", f.Kind, names(servers, gateways))
-		end := f.kind.begin(f, r, servers, gateways)
+		servers, gateways := f.pickTargets(sim)
+		sim.recordEvent("%s begins%s", f.Kind, targetNames(servers, gateways))
+		end := f.kind.begin(f, sim, servers, gateways)
 		if f.For > 0 {
-			r.after(f.For, func() {
+			sim.after(f.For, func() {
 				end()
-				r.event("%s ends", f.Kind)
+				sim.recordEvent("%s ends", f.Kind)
 			})
 		}
 		if f.Every > 0 {
-			r.after(f.Every, func() {
-				if r.now < start+r.world.Length {
+			sim.after(f.Every, func() {
+				if sim.now < start+sim.world.Length {
 					strike()
 				}
 			})
 		}
 	}
-	r.at(start+f.At, strike)
+	sim.at(start+f.At, strike)
 }
 
-func names(servers []*server, gateways []*gateway) (s string) {
-	const most = 8
+// targetNames lists what is struck, for an Event.
+func targetNames(servers []*server, gateways []*gateway) (s string) {
+	const maxNames = 8
 	for i, x := range servers {
-		if i == most {
-			return fmt.Sprintf("%s and %d more", s, len(servers)-most)
+		if i == maxNames {
+			return fmt.Sprintf("%s and %d more", s, len(servers)-maxNames)
 		}
 		s += fmt.Sprintf(" server %d", x.id)
 	}
 	for i, x := range gateways {
-		if i == most {
-			return fmt.Sprintf("%s and %d more", s, len(gateways)-most)
+		if i == maxNames {
+			return fmt.Sprintf("%s and %d more", s, len(gateways)-maxNames)
 		}
 		s += fmt.Sprintf(" gateway %d", x.index)
 	}
 	return s
 }
 
-// targets draws what is struck.
-func (f *Fault) targets(r *run) (servers []*server, gateways []*gateway) {
-	amount := func(of int) int {
-		n := f.Count
+// pickTargets draws what is struck.
+func (f *Fault) pickTargets(sim *simulation) (servers []*server, gateways []*gateway) {
+	amount := func(available int) int {
+		count := f.Count
 		if f.Share > 0 {
-			n = int(f.Share*float64(of) + 0.5)
+			count = int(f.Share*float64(available) + 0.5)
 		}
-		return min(of, max(1, n))
+		return min(available, max(1, count))
 	}
-	if f.kind.strikes == someServers || f.kind.strikes == both {
-		var fit []*server
-		for _, s := range r.servers {
-			if !s.runs() || s.draining || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.group.index != f.Group-1 ||
-				f.Of == "primaries" && !s.primary() || f.Of == "replicas" && s.primary() {
+	if f.kind.target == targetServers || f.kind.target == targetBoth {
+		var candidates []*server
+		for _, s := range sim.servers {
+			if !s.isUp() || s.draining || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.group.index != f.Group-1 ||
+				f.Of == "primaries" && !s.isPrimary() || f.Of == "replicas" && s.isPrimary() {
 				continue
 			}
-			fit = append(fit, s)
+			candidates = append(candidates, s)
 		}
-		if len(fit) > 0 {
-			for _, i := range f.rng.Perm(len(fit))[:amount(len(fit))] {
-				servers = append(servers, fit[i])
+		if len(candidates) > 0 {
+			for _, i := range f.rng.Perm(len(candidates))[:amount(len(candidates))] {
+				servers = append(servers, candidates[i])
 			}
 		}
 	}
-	if f.kind.strikes == someGateways || f.kind.strikes == both {
-		for _, i := range f.rng.Perm(len(r.gateways))[:amount(len(r.gateways))] {
-			gateways = append(gateways, r.gateways[i])
+	if f.kind.target == targetGateways || f.kind.target == targetBoth {
+		for _, i := range f.rng.Perm(len(sim.gateways))[:amount(len(sim.gateways))] {
+			gateways = append(gateways, sim.gateways[i])
 		}
 	}
 	return servers, gateways
--- a/internal/emulator/gossips.go
+++ b/internal/emulator/gossips.go
@@ -10,168 +10,178 @@
 	"gorsewell/internal/gossip"
 )
 
-// gossips is the network on which instances gossip, and what it costs.
-type gossips struct {
-	r     *run
-	rng   *rand.Rand
-	nodes []*instance // by gateway: the present run
-	sent  int64       // bytes
-	worst int64       // bytes in the worst second of any instance
-	false int64
-	past  gossip.Counts // of runs that have ended
-	from  time.Duration // bytes count from here
-}
-
-// instance is a gateway's part in the gossip; it is its node's Host.
+// gossipNetwork is the network on which the instances gossip. It counts what gossip costs.
+type gossipNetwork struct {
+	sim              *simulation
+	rng              *rand.Rand
+	instances        []*instance   // by gateway index: the present one of each
+	sentBytes        int64         // by all instances
+	worstSecondBytes int64         // most bytes that an instance sent in a second
+	falselyDead      int64         // see GossipResult.False
+	endedCounts      gossip.Counts // of nodes that have ended
+	countFrom        time.Duration // bytes sent before are not counted
+}
+
+// instance is a gateway's gossip node and the node's Host.
 type instance struct {
 	*gossip.Node
-	gs      *gossips
-	g       *gateway
-	life    int // of the gateway
-	base    time.Duration
-	name    string
-	key     gossip.KeyID
-	run     uint64
-	counter uint64
-	wake    int
-	second  int64 // for the bytes of the present one
-	inIt    int64
-	liar    *liar
+	network            *gossipNetwork
+	gateway            *gateway
+	generation         int           // of the gateway to which it belongs
+	clockBase          time.Duration // virtual time at which its clock shows 0
+	name               string
+	key                gossip.KeyID
+	runID              uint64 // drawn anew at each start
+	lastCounter        uint64 // of its datagrams
+	wakeCount          int    // calls of Wake; only the last one counts
+	currentSecond      int64  // in which it last sent
+	currentSecondBytes int64  // sent in currentSecond
+	liar               *liar  // nil unless it is one
 }
 
-func newGossips(r *run) *gossips {
-	return &gossips{r: r, rng: rand.New(rand.NewPCG(r.seed, 4)), nodes: make([]*instance, r.world.Gateways.Count)}
+func newGossipNetwork(sim *simulation) *gossipNetwork {
+	return &gossipNetwork{sim: sim, rng: rand.New(rand.NewPCG(sim.seed, 4)), instances: make([]*instance, sim.world.Gateways.Count)}
 }
 
+// address returns the address of the instance of a gateway.
 func address(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946)
 }
 
-func indexOf(a netip.AddrPort) int {
+// gatewayIndex returns the index of the gateway whose instance has an address.
+func gatewayIndex(a netip.AddrPort) int {
 	b := a.Addr().As4()
 	return int(b[1])<<16 | int(b[2])<<8 | int(b[3])
 }
 
-// setup is what an instance's node is told.
-func (gs *gossips) setup(i int, life int) gossip.Config {
-	w := &gs.r.world.Gossip
-	return gossip.Config{Name: fmt.Sprintf("g%04d", i), Key: gossip.KeyID{byte(i >> 8), byte(i), 1}, Run: mix(gs.r.seed ^ uint64(i)<<16 ^ uint64(life)),
-		Seed: mix(gs.r.seed + uint64(i)), Addr: address(i), Seeds: []netip.AddrPort{address(0), address(min(1, gs.r.world.Gateways.Count-1))},
-		ProbeEvery: w.ProbeEvery, ProbeTimeout: w.ProbeTimeout, SuspectFor: w.SuspectFor, TellEvery: w.TellEvery, SyncEvery: w.SyncEvery,
-		RumourLife: w.RumourLife, Members: w.Members, Rumours: w.Rumours, RumoursPerObserver: w.RumoursPerObserver,
-		ObserversPerServer: w.ObserversPerServer, Datagram: int(w.Datagram), DatagramsPerTell: w.DatagramsPerTell, BytesPerSecond: int(w.BytesPerSecond)}
-}
-
-// start makes the node of a gateway's run. That of the first run has begun before the day does.
-func (gs *gossips) start(g *gateway) *instance {
-	i := g.index
-	if old := gs.nodes[i]; old != nil {
-		if old.life == g.life {
-			return old
+// config returns the settings of a node.
+func (net *gossipNetwork) config(index int, generation int) gossip.Config {
+	settings := &net.sim.world.Gossip
+	return gossip.Config{Name: fmt.Sprintf("g%04d", index), Key: gossip.KeyID{byte(index >> 8), byte(index), 1},
+		Run: mix(net.sim.seed ^ uint64(index)<<16 ^ uint64(generation)), Seed: mix(net.sim.seed + uint64(index)),
+		Addr: address(index), Seeds: []netip.AddrPort{address(0), address(min(1, net.sim.world.Gateways.Count-1))},
+		ProbeEvery: settings.ProbeEvery, ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor,
+		TellEvery: settings.TellEvery, SyncEvery: settings.SyncEvery, RumourLife: settings.RumourLife,
+		Members: settings.Members, Rumours: settings.Rumours, RumoursPerObserver: settings.RumoursPerObserver,
+		ObserversPerServer: settings.ObserversPerServer, Datagram: int(settings.Datagram), DatagramsPerTell: settings.DatagramsPerTell,
+		BytesPerSecond: int(settings.BytesPerSecond)}
+}
+
+// start returns the node of a gateway's present generation, which it creates if there is none yet.
+func (net *gossipNetwork) start(g *gateway) *instance {
+	index := g.index
+	if previous := net.instances[index]; previous != nil {
+		if previous.generation == g.generation {
+			return previous
 		}
-		gs.past = add(gs.past, old.Counts())
-	}
-	s := gs.setup(i, g.life)
-	n := &instance{gs: gs, g: g, life: g.life, base: gs.r.now, name: s.Name, key: s.Key, run: s.Run}
-	n.Node = gossip.New(n, s)
-	gs.nodes[i] = n
-	gs.r.after(time.Duration(draw(gs.r.seed, 0x90551, uint64(i), uint64(g.life))*float64(time.Second)), func() {
-		g.do(n.life, func() { n.Node.Start(n.here()) })
+		net.endedCounts = addCounts(net.endedCounts, previous.Counts())
+	}
+	config := net.config(index, g.generation)
+	n := &instance{network: net, gateway: g, generation: g.generation, clockBase: net.sim.now, name: config.Name,
+		key: config.Key, runID: config.Run}
+	n.Node = gossip.New(n, config)
+	net.instances[index] = n
+	net.sim.after(time.Duration(draw(net.sim.seed, 0x90551, uint64(index), uint64(g.generation))*float64(time.Second)), func() {
+		g.runIfAlive(n.generation, func() { n.Node.Start(n.localTime()) })
 	})
 	return n
 }
 
-func (n *instance) here() time.Duration { return n.gs.r.now - n.base }
+func (n *instance) localTime() time.Duration { return n.network.sim.now - n.clockBase }
 
-// later does something at the instance, if its run goes on until then.
-func (n *instance) later(after time.Duration, f func()) {
-	n.gs.r.after(after, func() { n.g.do(n.life, f) })
+// schedule calls f at the instance after a time, unless its gateway has ended by then.
+func (n *instance) schedule(after time.Duration, f func()) {
+	n.network.sim.after(after, func() { n.gateway.runIfAlive(n.generation, f) })
 }
 
-// way is drawn apart from the ways of ops, which are to be the same whether instances gossip or not.
-func (n *instance) way(to *instance) time.Duration {
-	net := &n.gs.r.world.Network
-	d := net.Within
-	if n.g.zone != to.g.zone {
-		d = net.Between
+// delay draws the time that a datagram takes. It draws from a source of its own, so that the delays of ops are the
+// same with and without gossip.
+func (n *instance) delay(to *instance) time.Duration {
+	network := &n.network.sim.world.Network
+	d := network.Within
+	if n.gateway.zone != to.gateway.zone {
+		d = network.Between
 	}
-	return d + time.Duration(float64(d)*net.Jitter*n.gs.rng.ExpFloat64())
+	return d + time.Duration(float64(d)*network.Jitter*n.network.rng.ExpFloat64())
 }
 
-// charge counts bytes.
-func (n *instance) charge(bytes int) {
-	if n.gs.r.now < n.gs.from {
+// countBytes counts bytes sent. The worst second leaves out liars.
+func (n *instance) countBytes(bytes int) {
+	if n.network.sim.now < n.network.countFrom {
 		return
 	}
-	n.gs.sent += int64(bytes)
-	if second := int64(n.gs.r.now / time.Second); second != n.second {
-		n.second, n.inIt = second, 0
+	n.network.sentBytes += int64(bytes)
+	if second := int64(n.network.sim.now / time.Second); second != n.currentSecond {
+		n.currentSecond, n.currentSecondBytes = second, 0
 	}
-	if n.inIt += int64(bytes); n.liar == nil {
-		n.gs.worst = max(n.gs.worst, n.inIt)
+	if n.currentSecondBytes += int64(bytes); n.liar == nil {
+		n.network.worstSecondBytes = max(n.network.worstSecondBytes, n.currentSecondBytes)
 	}
 }
 
-// Datagram implements gossip.Host, as do the methods below.
+// Datagram implements gossip.Host, as do the exported methods below.
 func (n *instance) Datagram(to netip.AddrPort, _ gossip.KeyID, m *gossip.Message) {
-	n.charge(m.Bytes())
-	n.carry(to, m)
-}
-
-func (n *instance) carry(to netip.AddrPort, m *gossip.Message) {
-	gs := n.gs
-	n.counter++
-	d := gossip.Datagram{From: n.name, Key: n.key, Run: n.run, Counter: n.counter, Message: m}
-	net := &gs.r.world.Network
-	i := indexOf(to)
-	if i >= len(gs.nodes) || gs.nodes[i] == nil || !gs.r.talks(n.g.index, i) || net.Loss > 0 && gs.rng.Float64() < net.Loss {
+	n.countBytes(m.Bytes())
+	n.transmit(to, m)
+}
+
+// transmit carries a datagram to another instance, with the network's faults.
+func (n *instance) transmit(to netip.AddrPort, m *gossip.Message) {
+	network := n.network
+	n.lastCounter++
+	d := gossip.Datagram{From: n.name, Key: n.key, Run: n.runID, Counter: n.lastCounter, Message: m}
+	settings := &network.sim.world.Network
+	index := gatewayIndex(to)
+	if index >= len(network.instances) || network.instances[index] == nil ||
+		!network.sim.gossipReaches(n.gateway.index, index) || settings.Loss > 0 && network.rng.Float64() < settings.Loss {
 		return
 	}
-	x := gs.nodes[i]
-	way := n.way(x)
-	if net.Reorder > 0 && gs.rng.Float64() < net.Reorder {
-		way *= 10
+	receiver := network.instances[index]
+	delay := n.delay(receiver)
+	if settings.Reorder > 0 && network.rng.Float64() < settings.Reorder {
+		delay *= 10
 	}
-	take := func() {
-		if x.liar != nil {
-			x.liar.hears(m)
+	receive := func() {
+		if receiver.liar != nil {
+			receiver.liar.keepRumours(m)
 		}
-		x.Received(x.here(), d)
+		receiver.Received(receiver.localTime(), d)
 	}
-	x.later(way, take)
-	if net.Twice > 0 && gs.rng.Float64() < net.Twice {
-		x.later(3*way, take)
+	receiver.schedule(delay, receive)
+	if settings.Twice > 0 && network.rng.Float64() < settings.Twice {
+		receiver.schedule(3*delay, receive)
 	}
 }
 
 func (n *instance) Exchange(with netip.AddrPort, d *gossip.Digest) {
-	gs, i := n.gs, indexOf(with)
-	n.charge(d.Bytes())
-	if i >= len(gs.nodes) || gs.nodes[i] == nil || gs.nodes[i].g.down || !gs.r.talks(n.g.index, i) || !gs.r.talks(i, n.g.index) {
-		n.later(time.Second, func() { n.ExchangeFailed(n.here(), with) })
+	network, index := n.network, gatewayIndex(with)
+	n.countBytes(d.Bytes())
+	if index >= len(network.instances) || network.instances[index] == nil || network.instances[index].gateway.down ||
+		!network.sim.gossipReaches(n.gateway.index, index) || !network.sim.gossipReaches(index, n.gateway.index) {
+		n.schedule(time.Second, func() { n.ExchangeFailed(n.localTime(), with) })
 		return
 	}
-	x := gs.nodes[i]
-	x.later(2*n.way(x), func() {
-		items := x.ExchangeRequested(x.here(), d, address(n.g.index).Addr())
-		x.charge(items.Bytes())
-		n.later(n.way(x), func() {
-			if give := n.ExchangeAnswered(n.here(), items); give != nil {
-				n.charge(give.Bytes())
-				x.later(n.way(x), func() { x.ExchangeCompleted(x.here(), give) })
+	partner := network.instances[index]
+	partner.schedule(2*n.delay(partner), func() {
+		items := partner.ExchangeRequested(partner.localTime(), d, address(n.gateway.index).Addr())
+		partner.countBytes(items.Bytes())
+		n.schedule(n.delay(partner), func() {
+			if missing := n.ExchangeAnswered(n.localTime(), items); missing != nil {
+				n.countBytes(missing.Bytes())
+				partner.schedule(n.delay(partner), func() { partner.ExchangeCompleted(partner.localTime(), missing) })
 			}
 		})
 	})
 }
 
 func (n *instance) Wake(at time.Duration) {
-	n.wake++
-	wake := n.wake
-	n.gs.r.at(at+n.base, func() {
-		if n.wake == wake {
-			n.g.do(n.life, func() {
-				if n.wake == wake {
-					n.Timer(n.here())
+	n.wakeCount++
+	count := n.wakeCount
+	n.network.sim.at(at+n.clockBase, func() {
+		if n.wakeCount == count {
+			n.gateway.runIfAlive(n.generation, func() {
+				if n.wakeCount == count {
+					n.Timer(n.localTime())
 				}
 			})
 		}
@@ -179,47 +189,50 @@
 }
 
 func (n *instance) WeightChanged(server uint64, weight float64) {
-	if server >= 1 && server <= uint64(len(n.gs.r.servers)) && n.g.decider != nil && n.g.node == n {
-		n.g.decider.Rumour(n.g.here(), uint32(server), weight)
+	if server >= 1 && server <= uint64(len(n.network.sim.servers)) && n.gateway.policy != nil && n.gateway.gossipNode == n {
+		n.gateway.policy.Rumour(n.gateway.localTime(), uint32(server), weight)
 	}
 }
 
 func (n *instance) Log(event, name string) {
-	gs := n.gs
+	network := n.network
 	if event != "member_dead" {
 		return
 	}
-	var i int
-	if _, err := fmt.Sscanf(name, "g%d", &i); err != nil || i >= len(gs.nodes) {
+	var index int
+	if _, err := fmt.Sscanf(name, "g%d", &index); err != nil || index >= len(network.instances) {
 		return
 	}
-	if !gs.r.gateways[i].down && gs.r.talks(i, n.g.index) && gs.r.talks(n.g.index, i) {
-		gs.false++
+	if !network.sim.gateways[index].down && network.sim.gossipReaches(index, n.gateway.index) &&
+		network.sim.gossipReaches(n.gateway.index, index) {
+		network.falselyDead++
 	}
 }
 
-// trouble takes what the gateway's own module has seen.
-func (n *instance) trouble(server uint32, t choice.Trouble) {
+// reportTrouble passes on what the gateway's decision module has seen itself.
+func (n *instance) reportTrouble(server uint32, t choice.Trouble) {
 	if t == choice.NoTrouble {
-		n.Recovered(n.here(), uint64(server))
+		n.Recovered(n.localTime(), uint64(server))
 		return
 	}
 	s := gossip.Symptom(t)
-	n.ReportSymptom(n.here(), uint64(server), s, s.Strength())
+	n.ReportSymptom(n.localTime(), uint64(server), s, s.Strength())
 }
 
-func (n *instance) acked(s *server, sentAt time.Duration) {
-	n.Acked(n.here(), uint64(s.id), sentAt-n.base)
+// opAcked passes on that a server has acked an op in time.
+func (n *instance) opAcked(s *server, sentAt time.Duration) {
+	n.Acked(n.localTime(), uint64(s.id), sentAt-n.clockBase)
 }
 
-func (gs *gossips) result(start time.Duration) *GossipResult {
-	res := &GossipResult{False: gs.false, Counts: gs.past}
-	for _, n := range gs.nodes {
+// result returns the totals of the run, for rates since start.
+func (net *gossipNetwork) result(start time.Duration) *GossipResult {
+	res := &GossipResult{False: net.falselyDead, Counts: net.endedCounts}
+	for _, n := range net.instances {
 		if n != nil {
-			res.Counts = add(res.Counts, n.Counts())
+			res.Counts = addCounts(res.Counts, n.Counts())
 		}
 	}
-	res.Sent = float64(gs.sent) / (gs.r.now - start).Seconds() / float64(len(gs.nodes))
-	res.WorstSent = float64(gs.worst)
+	res.Sent = float64(net.sentBytes) / (net.sim.now - start).Seconds() / float64(len(net.instances))
+	res.WorstSent = float64(net.worstSecondBytes)
 	return res
 }
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -9,336 +9,342 @@
 
 // group is a primary with its replicas.
 type group struct {
-	w        *run
-	index    int
-	members  []*server
-	primary  *server // or nil while there is none
-	lostAt   time.Duration
-	commits  []time.Duration // the newest, for those that come back
-	electing bool
-	term     int               // counts primaries
-	tokens   map[uint64]*token // of tokened ops
-	swept    time.Duration
+	sim           *simulation
+	index         int
+	members       []*server
+	primary       *server         // nil while there is none
+	primaryLostAt time.Duration   // when the last primary was lost
+	commits       []time.Duration // times of the newest commits, for members that come back
+	electing      bool
+	term          int               // increases when a primary takes over, or returns before it was given up
+	tokens        map[uint64]*token // by request id
+	tokensSweptAt time.Duration     // when tokens out of date were last dropped
 }
 
-// token is what a group remembers of a tokened op: repeats that come in within its window are known as such, and of all
-// that are known to belong together one has an effect.
+// token is what a group remembers of a tokened op. Sends that arrive within the window of an earlier one, or while one
+// is pending, are recognized as repeats, and only one of them takes effect.
 type token struct {
-	seen    time.Duration // when it last came in
-	waiting int           // sends of it that have come in and are not done
-	done    bool
-	at      time.Duration // of its effect
+	lastSeenAt time.Duration // when a send of the op last arrived
+	pending    int           // sends of the op that have arrived and have not finished
+	done       bool
+	doneAt     time.Duration // when it took effect
 }
 
-// comes notes that a tokened op has come in.
-func (g *group) comes(a *attempt) {
-	if a.t.told.Effect != choice.Tokened || a.t.need != choice.Write {
+// noteTokenedSend records the arrival of a tokened write, and drops the tokens that are out of date.
+func (g *group) noteTokenedSend(a *attempt) {
+	if a.opType.config.Effect != choice.Tokened || a.opType.need != choice.Write {
 		return
 	}
-	now, window := g.w.now, a.t.Window
-	if now-g.swept > 4*window {
-		g.swept = now
-		for id, k := range g.tokens {
-			if k.waiting <= 0 && now-k.seen > 2*window {
+	now, window := g.sim.now, a.opType.Window
+	if now-g.tokensSweptAt > 4*window {
+		g.tokensSweptAt = now
+		for id, t := range g.tokens {
+			if t.pending <= 0 && now-t.lastSeenAt > 2*window {
 				delete(g.tokens, id)
 			}
 		}
 	}
-	k := g.tokens[a.req.id]
-	if k == nil || k.waiting <= 0 && now-k.seen > window {
-		k = &token{}
-		g.tokens[a.req.id] = k
+	t := g.tokens[a.request.id]
+	if t == nil || t.pending <= 0 && now-t.lastSeenAt > window {
+		t = &token{}
+		g.tokens[a.request.id] = t
 	}
-	k.seen = now
-	k.waiting++
-	a.token = k
+	t.lastSeenAt = now
+	t.pending++
+	a.token = t
 }
 
-// fresh tells whether a write is to have its effect, and when that was or is.
-func (g *group) fresh(now time.Duration, a *attempt) bool {
-	a.committed = now
-	k := a.token
-	if k == nil {
+// takesEffect reports whether a write takes effect now, and sets the time at which it does or an earlier repeat did.
+func (g *group) takesEffect(now time.Duration, a *attempt) bool {
+	a.committedAt = now
+	t := a.token
+	if t == nil {
 		return true
 	}
-	k.waiting--
-	if k.done {
-		a.committed = k.at
+	t.pending--
+	if t.done {
+		a.committedAt = t.doneAt
 		return false
 	}
-	k.done, k.at = true, now
+	t.done, t.doneAt = true, now
 	return true
 }
 
-// lost is called when a member is dead, hung or cut off. A primary is given up after a while, and another takes over.
-func (g *group) lost(s *server) {
+// memberLost is called when a member has crashed, hangs or is cut off. If it is the primary and has not recovered
+// within Failover.Detect, another one is elected.
+func (g *group) memberLost(s *server) {
 	if g.primary != s {
 		return
 	}
-	g.lostAt = g.w.now
+	g.primaryLostAt = g.sim.now
 	term := g.term
-	f := &g.w.world.Failover
-	g.w.after(f.Detect, func() {
-		if g.term != term || s.runs() && !s.hung && g.primary == s {
+	failover := &g.sim.world.Failover
+	g.sim.after(failover.Detect, func() {
+		if g.term != term || s.isUp() && !s.hung && g.primary == s {
 			return
 		}
-		s.applied = max(s.applied, g.lostAt)
+		s.appliedTo = max(s.appliedTo, g.primaryLostAt)
 		g.primary = nil
-		g.elect(f.Elect)
+		g.elect(failover.Elect)
 	})
 }
 
-// handover moves the role away from a primary that drains.
-func (g *group) handover(s *server) {
+// handOver moves the role of primary away from a server that drains.
+func (g *group) handOver(s *server) {
 	if g.primary != s {
 		return
 	}
-	g.lostAt = g.w.now
-	s.applied = g.w.now
+	g.primaryLostAt = g.sim.now
+	s.appliedTo = g.sim.now
 	g.primary = nil
-	g.elect(g.w.world.Failover.Hand)
+	g.elect(g.sim.world.Failover.Hand)
 }
 
-// elect makes the member that is furthest a primary, after a time.
+// elect promotes the member with the newest position after a time. It tries again every Failover.Elect while no member
+// can take the role.
 func (g *group) elect(after time.Duration) {
 	if g.electing {
 		return
 	}
 	g.electing = true
-	g.w.after(after, func() {
+	g.sim.after(after, func() {
 		g.electing = false
 		if g.primary != nil {
 			return
 		}
 		var best *server
 		for _, s := range g.members {
-			if s.runs() && !s.hung && !s.draining && (best == nil || s.position() > best.position()) {
+			if s.isUp() && !s.hung && !s.draining && (best == nil || s.position() > best.position()) {
 				best = s
 			}
 		}
 		if best == nil {
-			g.elect(g.w.world.Failover.Elect)
+			g.elect(g.sim.world.Failover.Elect)
 			return
 		}
 		g.promote(best)
 	})
 }
 
+// promote makes a server the primary.
 func (g *group) promote(s *server) {
 	g.term++
 	g.primary = s
-	// What was shipped to it is applied before it takes the role; what was not is lost with the old primary.
-	s.backlog, s.applying, s.applied = nil, false, g.w.now
-	g.w.event("server %d is primary of group %d", s.id, g.index)
-	g.w.check.promoted(s)
-	for _, a := range s.waiting {
-		g.w.after(0, func() { s.begin(a) })
+	// What has been shipped to it is applied before it takes the role. What has not is lost with the old primary.
+	s.backlog, s.applying, s.appliedTo = nil, false, g.sim.now
+	g.sim.recordEvent("server %d is primary of group %d", s.id, g.index)
+	g.sim.checker.promoted(s)
+	for _, a := range s.waitingReads {
+		g.sim.after(0, func() { s.begin(a) })
 	}
-	s.waiting = nil
-	g.w.lists.changed(s)
+	s.waitingReads = nil
+	g.sim.discovery.serverChanged(s)
 }
 
-// rejoin brings a member back as a replica that stands where it stood.
+// rejoin brings a member back as a replica, which continues from the position that it had.
 func (g *group) rejoin(s *server) {
-	if g.primary == s { // it returned before it was given up
+	if g.primary == s { // it has returned before it was given up
 		g.term++
 		g.primary = nil
-		g.elect(g.w.world.Failover.Elect)
+		g.elect(g.sim.world.Failover.Elect)
 	}
-	from, _ := slices.BinarySearch(g.commits, s.applied+1)
+	from, _ := slices.BinarySearch(g.commits, s.appliedTo+1)
 	s.backlog = append(s.backlog[:0], g.commits[from:]...)
 	s.apply()
 }
 
-// replace puts a new server, under a new id, into the place of one that leaves.
+// replace adds a new server under a new id in place of one that leaves.
 func (g *group) replace(old *server) *server {
-	s := g.w.addServer(g, old.zone, old.kind)
-	s.started = g.w.now
-	s.applied = g.w.now - g.w.world.Log.Seed
+	s := g.sim.addServer(g, old.zone, old.kind)
+	s.startedAt = g.sim.now
+	s.appliedTo = g.sim.now - g.sim.world.Log.Seed
 	g.rejoin(s)
-	g.w.lists.changed(s)
+	g.sim.discovery.serverChanged(s)
 	return s
 }
 
-// line is a server's line in the list, as the list service knows it now.
-type line struct {
-	s       *server
-	state   choice.State
-	primary bool
-	started time.Duration
+// listEntry is a server's entry in the list, as discovery knows it.
+type listEntry struct {
+	server    *server
+	state     choice.State
+	primary   bool // always false unless the list includes roles
+	startedAt time.Duration
 }
 
-// lists is the service that tells gateways of servers, late.
-type lists struct {
-	w      *run
-	lines  map[*server]*line
-	order  []*line
-	down   bool // does not answer
-	frozen bool // answers what it knew
-	wrong  map[*server]choice.State
-	busyTo time.Duration
+// discoveryService keeps the list of servers and sends it to the gateways, with delays.
+type discoveryService struct {
+	sim         *simulation
+	entries     map[*server]*listEntry
+	ordered     []*listEntry             // the same in order of arrival
+	down        bool                     // answers no request
+	frozen      bool                     // does not update the list
+	falseStates map[*server]choice.State // sent instead of the true states
+	busyUntil   time.Duration            // with the requests that it has received
 }
 
-// changed notices, late, what has become of a server.
-func (l *lists) changed(s *server) {
-	c := &l.w.world.List
-	late := c.Added
+// serverChanged updates the entry of a server with the delay that discovery takes to notice the change.
+func (d *discoveryService) serverChanged(s *server) {
+	list := &d.sim.world.List
+	delay := list.Added
 	switch {
-	case s.state == vanished:
-		late = c.Vanished
-	case !s.runs():
-		late = c.Down
+	case s.state == serverVanished:
+		delay = list.Vanished
+	case !s.isUp():
+		delay = list.Down
 	case s.draining:
-		late = c.Added
+		delay = list.Added
 	}
-	life, draining := s.life, s.draining
-	l.w.after(late, func() {
-		if s.life == life && s.draining == draining {
-			l.note(s)
+	generation, draining := s.generation, s.draining
+	d.sim.after(delay, func() {
+		if s.generation == generation && s.draining == draining {
+			d.update(s)
 		}
 	})
 }
 
-// note takes a server's present state into the list and tells those who watch.
-func (l *lists) note(s *server) {
-	if l.frozen {
+// update brings a server's entry up to date and pushes it to the gateways that watch.
+func (d *discoveryService) update(s *server) {
+	if d.frozen {
 		return
 	}
-	e := l.lines[s]
+	e := d.entries[s]
 	if e == nil {
-		e = &line{s: s}
-		l.lines[s] = e
-		l.order = append(l.order, e)
+		e = &listEntry{server: s}
+		d.entries[s] = e
+		d.ordered = append(d.ordered, e)
 	}
-	e.state, e.started = choice.Ready, s.started
+	e.state, e.startedAt = choice.Ready, s.startedAt
 	switch {
-	case !s.runs():
+	case !s.isUp():
 		e.state = choice.Gone
 	case s.draining:
 		e.state = choice.Draining
 	}
-	if l.w.world.List.Roles == "late" {
-		e.primary = s.primary()
+	if d.sim.world.List.Roles == "late" {
+		e.primary = s.isPrimary()
 	}
-	l.tell([]*line{e})
+	d.push([]*listEntry{e})
 }
 
-// roles notes, where the list shows roles late, who is primary now.
-func (l *lists) roles() {
-	if l.w.world.List.Roles != "late" || l.frozen {
+// updateRoles brings the roles in the list up to date, if List.Roles is late, and pushes the changes.
+func (d *discoveryService) updateRoles() {
+	if d.sim.world.List.Roles != "late" || d.frozen {
 		return
 	}
-	var changes []*line
-	for _, e := range l.order {
-		if is := e.s.primary(); is != e.primary {
+	var changes []*listEntry
+	for _, e := range d.ordered {
+		if is := e.server.isPrimary(); is != e.primary {
 			e.primary = is
 			changes = append(changes, e)
 		}
 	}
-	l.tell(changes)
+	d.push(changes)
 }
 
-func (l *lists) tell(changes []*line) {
-	if l.down || len(changes) == 0 {
+// push sends changes to the gateways that watch, to each after a delay of its own up to List.Spread.
+func (d *discoveryService) push(changes []*listEntry) {
+	if d.down || len(changes) == 0 {
 		return
 	}
-	for _, g := range l.w.gateways {
-		if g.watching && g.runs() {
+	for _, g := range d.sim.gateways {
+		if g.watchesList && g.isUp() {
 			g := g
-			late := time.Duration(draw(l.w.seed, 0x115, uint64(g.index), uint64(l.w.now)) * float64(l.w.world.List.Spread))
-			told := l.copy(changes)
-			life := g.life
-			l.w.after(late, func() {
-				if g.life == life && g.watching && !l.down {
-					g.listed(choice.ListChanges, told)
+			delay := time.Duration(draw(d.sim.seed, 0x115, uint64(g.index), uint64(d.sim.now)) * float64(d.sim.world.List.Spread))
+			entries := d.snapshot(changes)
+			generation := g.generation
+			d.sim.after(delay, func() {
+				if g.generation == generation && g.watchesList && !d.down {
+					g.deliverList(choice.ListChanges, entries)
 				}
 			})
 		}
 	}
 }
 
-// copy is the lines as they are told now.
-func (l *lists) copy(lines []*line) []line {
-	told := make([]line, 0, len(lines))
-	for _, e := range lines {
-		t := *e
-		if state, ok := l.wrong[e.s]; ok {
-			t.state = state
+// snapshot copies entries as they are sent now, false states included.
+func (d *discoveryService) snapshot(entries []*listEntry) []listEntry {
+	copies := make([]listEntry, 0, len(entries))
+	for _, e := range entries {
+		entry := *e
+		if state, ok := d.falseStates[e.server]; ok {
+			entry.state = state
 		}
-		told = append(told, t)
+		copies = append(copies, entry)
 	}
-	return told
+	return copies
 }
 
-// call answers a gateway's asking for the whole list. Calls are handled one after another.
-func (l *lists) call(g *gateway, watch bool) {
-	life := g.life
-	c := &l.w.world.List
-	if l.down {
-		l.w.after(c.Timeout/8, func() {
-			if g.life == life {
-				g.listed(choice.ListFailed, nil)
+// requestList answers a request for the whole list. Requests are handled one after another, List.Call for each.
+func (d *discoveryService) requestList(g *gateway, watch bool) {
+	generation := g.generation
+	list := &d.sim.world.List
+	if d.down {
+		d.sim.after(list.Timeout/8, func() {
+			if g.generation == generation {
+				g.deliverList(choice.ListFailed, nil)
 			}
 		})
 		return
 	}
-	l.busyTo = max(l.busyTo, l.w.now) + c.Call
-	if l.busyTo-l.w.now > c.Timeout {
-		l.busyTo -= c.Call
-		l.w.after(c.Timeout, func() {
-			if g.life == life {
-				g.listed(choice.ListFailed, nil)
+	d.busyUntil = max(d.busyUntil, d.sim.now) + list.Call
+	if d.busyUntil-d.sim.now > list.Timeout {
+		d.busyUntil -= list.Call
+		d.sim.after(list.Timeout, func() {
+			if g.generation == generation {
+				g.deliverList(choice.ListFailed, nil)
 			}
 		})
 		return
 	}
-	l.w.at(l.busyTo+2*l.w.world.Network.Within, func() {
+	d.sim.at(d.busyUntil+2*d.sim.world.Network.Within, func() {
 		switch {
-		case g.life != life:
-		case l.down:
-			g.listed(choice.ListFailed, nil)
+		case g.generation != generation:
+		case d.down:
+			g.deliverList(choice.ListFailed, nil)
 		default:
-			g.watching = g.watching || watch
-			var there []*line
-			for _, e := range l.order {
+			g.watchesList = g.watchesList || watch
+			var listed []*listEntry
+			for _, e := range d.ordered {
 				if e.state != choice.Gone {
-					there = append(there, e)
+					listed = append(listed, e)
 				}
 			}
-			g.listed(choice.ListFull, l.copy(there))
+			g.deliverList(choice.ListFull, d.snapshot(listed))
 		}
 	})
 }
 
-// breaks ends all watches; who watched is told so.
-func (l *lists) breaks(down bool) {
-	if l.down = down; down {
-		l.unwatch(func(*gateway) time.Duration { return l.w.world.List.Timeout / 8 })
+// setDown starts or ends an outage. At its start all watches end, and the gateways notice.
+func (d *discoveryService) setDown(down bool) {
+	if d.down = down; down {
+		d.endWatches(func(*gateway) time.Duration { return d.sim.world.List.Timeout / 8 })
 	}
 }
 
-// A silent watch is given up between these times after it was opened, by chance.
+// A gateway gives up a silenced watch at a random time between these after the silence began.
 const (
-	givenUpFrom = 4 * time.Second
-	givenUpTo   = 4600 * time.Millisecond
+	minSilentWatch = 4 * time.Second
+	maxSilentWatch = 4600 * time.Millisecond
 )
 
-// silence has nobody hear of changes until it has given its watch up.
-func (l *lists) silence() {
-	l.unwatch(func(g *gateway) time.Duration {
-		return givenUpFrom + time.Duration(draw(l.w.seed, 0x511, uint64(g.index), uint64(l.w.now))*float64(givenUpTo-givenUpFrom))
+// silenceWatches ends all watches without notice. Each gateway learns of it when it gives up its own.
+func (d *discoveryService) silenceWatches() {
+	d.endWatches(func(g *gateway) time.Duration {
+		return minSilentWatch +
+			time.Duration(draw(d.sim.seed, 0x511, uint64(g.index), uint64(d.sim.now))*float64(maxSilentWatch-minSilentWatch))
 	})
 }
 
-// unwatch ends all watches, of which each gateway learns after a time.
-func (l *lists) unwatch(after func(g *gateway) time.Duration) {
-	for _, g := range l.w.gateways {
-		if g.watching && g.runs() && l.w.world.List.Asked {
-			g.watching = false
-			life := g.life
-			l.w.after(after(g), func() {
-				if g.life == life {
-					g.listed(choice.ListFailed, nil)
+// endWatches ends all watches that gateways requested. Each gateway learns of it after a time. A list that is pushed
+// has no such watches.
+func (d *discoveryService) endWatches(after func(g *gateway) time.Duration) {
+	for _, g := range d.sim.gateways {
+		if g.watchesList && g.isUp() && d.sim.world.List.Asked {
+			g.watchesList = false
+			generation := g.generation
+			d.sim.after(after(g), func() {
+				if g.generation == generation {
+					g.deliverList(choice.ListFailed, nil)
 				}
 			})
 		}
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -8,37 +8,39 @@
 	"gorsewell/choice"
 )
 
-// Policies are the names by which an arm asks for one.
+// Policies lists the names of the policies that an Arm can choose.
 var Policies = []string{"module", "oracle", "primary", "turns", "least", "two"}
 
-// decide makes what decides in a gateway.
-func (r *run) decide(g *gateway) decider {
-	if r.mutant != nil {
-		return r.mutant(g)
+// newPolicy returns the policy of the arm for a gateway.
+func (sim *simulation) newPolicy(g *gateway) policy {
+	if sim.testPolicy != nil {
+		return sim.testPolicy(g)
 	}
-	d := r.deployment(g)
-	var choose func(p *plain, o *plainOp) *server
-	switch r.arm.Policy {
+	d := sim.deployment(g)
+	var choose func(p *baselinePolicy, o *baselineOp) *server
+	switch sim.arm.Policy {
 	case "", "module":
 		return choice.New(g, d)
 	case "oracle":
-		choose = (*plain).oracle
+		choose = (*baselinePolicy).oracle
 	case "primary":
-		choose = (*plain).home
+		choose = (*baselinePolicy).primary
 	case "turns":
-		choose = (*plain).turns
+		choose = (*baselinePolicy).roundRobin
 	case "least":
-		choose = (*plain).least
+		choose = (*baselinePolicy).leastOpen
 	case "two":
-		choose = (*plain).two
+		choose = (*baselinePolicy).betterOfTwo
 	}
-	p := newPlain(g, d, choose)
-	p.oracular = r.arm.Policy == "oracle"
+	p := newBaselinePolicy(g, d, choose)
+	p.isOracle = sim.arm.Policy == "oracle"
 	return p
 }
 
-func newPlain(g *gateway, d *choice.Deployment, choose func(p *plain, o *plainOp) *server) *plain {
-	p := &plain{g: g, d: d, ops: map[uint32]*plainOp{}, choose: choose, out: map[uint32]int{}, states: map[uint32]choice.State{}}
+// newBaselinePolicy returns a policy that picks servers with choose. choose returns nil if no server will do for now.
+func newBaselinePolicy(g *gateway, d *choice.Deployment, choose func(p *baselinePolicy, o *baselineOp) *server) *baselinePolicy {
+	p := &baselinePolicy{gateway: g, deployment: d, ops: map[uint32]*baselineOp{}, choose: choose, openSends: map[uint32]int{},
+		states: map[uint32]choice.State{}}
 	if d.ListOnRequest {
 		g.WatchList()
 	}
@@ -46,63 +48,68 @@
 	return p
 }
 
-// plain is a gateway with a simple policy, to compare the module with. It keeps rules 1, 2 and 3; whether it keeps 4 and 5
-// is up to the policy, and the checker tells.
-type plain struct {
-	g        *gateway
-	d        *choice.Deployment
-	ops      map[uint32]*plainOp
-	held     []*plainOp
-	choose   func(p *plain, o *plainOp) *server
-	turn     int
-	draws    uint64
-	oracular bool
-	out      map[uint32]int // own sends out, by server
-	states   map[uint32]choice.State
+// baselinePolicy is a simple policy to compare the decision module with. It keeps rules 1, 2 and 3. Whether rules 4
+// and 5 hold depends on choose.
+type baselinePolicy struct {
+	gateway    *gateway
+	deployment *choice.Deployment
+	ops        map[uint32]*baselineOp
+	held       []*baselineOp // no server would do so far
+	choose     func(p *baselinePolicy, o *baselineOp) *server
+	rotation   int    // where the next rotation over a group's members begins
+	drawCount  uint64 // random numbers drawn
+	isOracle   bool
+	openSends  map[uint32]int          // by server id: sends of this gateway without a result so far
+	states     map[uint32]choice.State // by server id, from the list
 }
 
-type plainOp struct {
-	id       uint32
-	kind     uint8
-	worth    float64
-	t        *choice.OpType
-	group    *group
-	due      time.Duration
-	target   time.Duration
-	mark     time.Duration // of the gateway's clock
-	sends    int
-	out      *server
-	outAt    time.Duration
-	maybe    bool
-	maybeAt  time.Duration
-	canceled bool
+// baselineOp is an op that the policy has not finished.
+type baselineOp struct {
+	id             uint32
+	typeNumber     uint8
+	valuePerWork   float64
+	opType         *choice.OpType
+	group          *group
+	clientLeavesAt time.Duration
+	targetAt       time.Duration
+	minPosition    time.Duration // that a session's read must see, by the gateway's clock
+	sendCount      int
+	sentTo         *server       // of the open send, else nil
+	sentAt         time.Duration // of the last send
+	mayHaveRun     bool          // a send has ended that may have run
+	mayHaveRunAt   time.Duration // when the first such send started
 }
 
-func (p *plain) Op(now time.Duration, id uint32, kind uint8, session uint64, due time.Duration, inGroup uint16, wroteAgo time.Duration, again bool) {
-	t := &p.d.OpTypes[kind]
-	o := &plainOp{id: id, kind: kind, t: t, worth: t.Value / float64(p.g.w.types[kind].Work), group: p.g.w.groups[inGroup], due: due, target: now + t.Target, mark: choice.LongPast}
-	if t.Need == choice.Session && wroteAgo > 0 {
-		o.mark = now - wroteAgo
+func (p *baselinePolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration, groupID uint16,
+	writeAge time.Duration, isRetry bool) {
+	opType := &p.deployment.OpTypes[typeNumber]
+	o := &baselineOp{id: id, typeNumber: typeNumber, opType: opType,
+		valuePerWork: opType.Value / float64(p.gateway.sim.opTypes[typeNumber].Work), group: p.gateway.sim.groups[groupID],
+		clientLeavesAt: clientLeavesAt, targetAt: now + opType.Target, minPosition: choice.LongPast}
+	if opType.Need == choice.Session && writeAge > 0 {
+		o.minPosition = now - writeAge
 	}
-	if p.oracular { // a retry earns by when its first try was made
-		o.target = p.g.trials[id].req.at - p.g.base + t.Target
+	if p.isOracle { // the latency target of a retry counts from its first try
+		o.targetAt = p.gateway.ops[id].request.askedAt - p.gateway.clockBase + opType.Target
 	}
 	p.ops[id] = o
-	p.place(now, o)
+	p.dispatch(now, o)
 }
 
-// place sends an op, holds it while there is nowhere to send it, or gives it up.
-func (p *plain) place(now time.Duration, o *plainOp) {
-	may := o.sends < p.d.MaxSends && (!o.maybe || o.t.Effect == choice.Retryable ||
-		o.t.Effect == choice.Tokened && o.t.Scope != choice.ScopeZone && now-o.maybeAt < o.t.Window-2*p.d.EventInterval)
-	last := p.last(o)
-	if !may || now >= last-2*p.d.EventInterval || p.oracular && now+p.g.w.types[o.kind].Work/2 > last {
+// dispatch sends an op, holds it if no server will do, or gives it up if sending is no longer allowed or useful.
+func (p *baselinePolicy) dispatch(now time.Duration, o *baselineOp) {
+	maySend := o.sendCount < p.deployment.MaxSends && (!o.mayHaveRun || o.opType.Effect == choice.Retryable ||
+		o.opType.Effect == choice.Tokened && o.opType.Scope != choice.ScopeZone &&
+			now-o.mayHaveRunAt < o.opType.Window-2*p.deployment.EventInterval)
+	usefulUntil := p.usefulUntil(o)
+	if !maySend || now >= usefulUntil-2*p.deployment.EventInterval ||
+		p.isOracle && now+p.gateway.sim.opTypes[o.typeNumber].Work/2 > usefulUntil {
 		p.unhold(o)
 		delete(p.ops, o.id)
-		if !o.maybe || o.t.Effect == choice.Retryable || o.t.Effect == choice.Tokened && o.t.Scope == choice.ScopeAll {
-			p.g.BusyReply(o.id, min(o.t.Target, p.d.MaxRetryAfter))
+		if !o.mayHaveRun || o.opType.Effect == choice.Retryable || o.opType.Effect == choice.Tokened && o.opType.Scope == choice.ScopeAll {
+			p.gateway.BusyReply(o.id, min(o.opType.Target, p.deployment.MaxRetryAfter))
 		} else {
-			p.g.Error(o.id)
+			p.gateway.Error(o.id)
 		}
 		return
 	}
@@ -114,72 +121,73 @@
 		return
 	}
 	p.unhold(o)
-	o.out, o.outAt = s, now
-	o.sends++
-	p.out[s.id]++
-	p.g.Send(o.id, s.id, 0)
+	o.sentTo, o.sentAt = s, now
+	o.sendCount++
+	p.openSends[s.id]++
+	p.gateway.Send(o.id, s.id, 0)
 }
 
-// last is when an ack earns nothing any more.
-func (p *plain) last(o *plainOp) time.Duration {
-	if o.t.LateValue == 0 {
-		return min(o.due, o.target)
+// usefulUntil returns the time from which an ack earns nothing.
+func (p *baselinePolicy) usefulUntil(o *baselineOp) time.Duration {
+	if o.opType.LateValue == 0 {
+		return min(o.clientLeavesAt, o.targetAt)
 	}
-	return o.due
+	return o.clientLeavesAt
 }
 
-func (p *plain) unhold(o *plainOp) {
-	p.held = slices.DeleteFunc(p.held, func(x *plainOp) bool { return x == o })
+func (p *baselinePolicy) unhold(o *baselineOp) {
+	p.held = slices.DeleteFunc(p.held, func(x *baselineOp) bool { return x == o })
 }
 
-func (p *plain) Answer(now time.Duration, id uint32, send uint8, at uint32, result choice.Result, took time.Duration, final bool, role choice.Role, pos time.Duration) {
-	p.out[at]--
+func (p *baselinePolicy) Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result, took time.Duration,
+	final bool, role choice.Role, pos time.Duration) {
+	p.openSends[serverID]--
 	o := p.ops[id]
 	if o == nil {
 		return
 	}
-	o.out = nil
+	o.sentTo = nil
 	switch result {
 	case choice.ServerFull, choice.NoConnection, choice.NotSent, choice.Declined:
 	default:
-		if !o.maybe {
-			o.maybe, o.maybeAt = true, o.outAt
+		if !o.mayHaveRun {
+			o.mayHaveRun, o.mayHaveRunAt = true, o.sentAt
 		}
 	}
 	if final || result == choice.Acked {
 		delete(p.ops, id)
-		if p.oracular {
-			p.wake(now)
+		if p.isOracle {
+			p.dispatchHeld(now)
 		}
 		return
 	}
-	if result == choice.ServerFull || result == choice.NoConnection { // at once it would be no better
+	if result == choice.ServerFull || result == choice.NoConnection { // trying again at once would be no better
 		p.held = append(p.held, o)
 		return
 	}
-	p.place(now, o)
+	p.dispatch(now, o)
 }
 
-func (p *plain) Timer(now time.Duration, _ uint32) {
-	p.g.Timer(0, now+p.d.EventInterval)
-	p.wake(now)
+func (p *baselinePolicy) Timer(now time.Duration, _ uint32) {
+	p.gateway.Timer(0, now+p.deployment.EventInterval)
+	p.dispatchHeld(now)
 }
 
-// wake places what is held.
-func (p *plain) wake(now time.Duration) {
-	if p.oracular { // the most valuable work first, the newest of equal worth
-		slices.SortStableFunc(p.held, func(a, b *plainOp) int {
-			return cmp.Or(cmp.Compare(b.worth, a.worth), cmp.Compare(b.target, a.target))
+// dispatchHeld tries again to send the held ops.
+func (p *baselinePolicy) dispatchHeld(now time.Duration) {
+	if p.isOracle { // most value for the work first, among equals the latest target first
+		slices.SortStableFunc(p.held, func(a, b *baselineOp) int {
+			return cmp.Or(cmp.Compare(b.valuePerWork, a.valuePerWork), cmp.Compare(b.targetAt, a.targetAt))
 		})
 	}
 	for _, o := range slices.Clone(p.held) {
-		p.place(now, o)
+		p.dispatch(now, o)
 	}
 }
 
-func (p *plain) List(now time.Duration, scope choice.ListScope, listed []choice.Listed) {
+func (p *baselinePolicy) List(now time.Duration, scope choice.ListScope, listed []choice.Listed) {
 	if scope == choice.ListFailed {
-		p.g.then(p.d.AskWithin/4, p.g.WatchList)
+		p.gateway.schedule(p.deployment.AskWithin/4, p.gateway.WatchList)
 		return
 	}
 	if scope != choice.ListChanges {
@@ -190,121 +198,124 @@
 	}
 }
 
-func (p *plain) Report(time.Duration, uint32, choice.Role, time.Duration)        {}
-func (p *plain) ProbeAnswer(time.Duration, uint32, choice.Result, time.Duration) {}
-func (p *plain) ClientGone(time.Duration, uint32)                                {}
-func (p *plain) Rumour(time.Duration, uint32, float64)                           {}
-func (p *plain) ready(s *server) bool                                            { return p.states[s.id] == choice.Ready }
-func (p *plain) chance() float64                                                 { p.draws++; return draw(p.d.Seed, p.draws) }
-func (p *plain) primaryOnly(o *plainOp) bool {
-	return o.t.Need == choice.Write || o.t.Need == choice.Fresh
+func (p *baselinePolicy) Report(time.Duration, uint32, choice.Role, time.Duration)        {}
+func (p *baselinePolicy) ProbeAnswer(time.Duration, uint32, choice.Result, time.Duration) {}
+func (p *baselinePolicy) ClientGone(time.Duration, uint32)                                {}
+func (p *baselinePolicy) Rumour(time.Duration, uint32, float64)                           {}
+func (p *baselinePolicy) ready(s *server) bool                                            { return p.states[s.id] == choice.Ready }
+func (p *baselinePolicy) random() float64                                                 { p.drawCount++; return draw(p.deployment.Seed, p.drawCount) }
+func (p *baselinePolicy) primaryOnly(o *baselineOp) bool {
+	return o.opType.Need == choice.Write || o.opType.Need == choice.Fresh
 }
 
-// home sends all to the primary, which it knows as soon as there is one: the floor that anything else must beat.
-func (p *plain) home(o *plainOp) *server {
+// primary picks the primary for all ops, and learns of a new one without delay. It is the lower bound that every other
+// policy should beat.
+func (p *baselinePolicy) primary(o *baselineOp) *server {
 	if s := o.group.primary; s != nil && p.ready(s) {
 		return s
 	}
 	return nil
 }
 
-// turns sends reads to all members in turn, whatever is known of them.
-func (p *plain) turns(o *plainOp) *server {
+// roundRobin picks the ready members in turn for reads, whatever their position.
+func (p *baselinePolicy) roundRobin(o *baselineOp) *server {
 	if p.primaryOnly(o) {
-		return p.home(o)
+		return p.primary(o)
 	}
-	p.turn++
+	p.rotation++
 	for i := range o.group.members {
-		if s := o.group.members[(p.turn+i)%len(o.group.members)]; p.ready(s) {
+		if s := o.group.members[(p.rotation+i)%len(o.group.members)]; p.ready(s) {
 			return s
 		}
 	}
 	return nil
 }
 
-// least sends reads to the member that owes this gateway the fewest answers.
-func (p *plain) least(o *plainOp) (best *server) {
+// leastOpen picks for reads the ready member with the fewest open sends of this gateway.
+func (p *baselinePolicy) leastOpen(o *baselineOp) (best *server) {
 	if p.primaryOnly(o) {
-		return p.home(o)
+		return p.primary(o)
 	}
-	p.turn++
+	p.rotation++
 	for i := range o.group.members {
-		s := o.group.members[(p.turn+i)%len(o.group.members)]
-		if p.ready(s) && (best == nil || p.out[s.id] < p.out[best.id]) {
+		s := o.group.members[(p.rotation+i)%len(o.group.members)]
+		if p.ready(s) && (best == nil || p.openSends[s.id] < p.openSends[best.id]) {
 			best = s
 		}
 	}
 	return best
 }
 
-// two sends reads to the better of two members drawn by chance.
-func (p *plain) two(o *plainOp) (best *server) {
+// betterOfTwo picks for reads the one of two random members that has fewer open sends of this gateway.
+func (p *baselinePolicy) betterOfTwo(o *baselineOp) (best *server) {
 	if p.primaryOnly(o) {
-		return p.home(o)
+		return p.primary(o)
 	}
 	for range 2 {
-		s := o.group.members[int(p.chance()*float64(len(o.group.members)))]
-		if p.ready(s) && (best == nil || p.out[s.id] < p.out[best.id]) {
+		s := o.group.members[int(p.random()*float64(len(o.group.members)))]
+		if p.ready(s) && (best == nil || p.openSends[s.id] < p.openSends[best.id]) {
 			best = s
 		}
 	}
 	return best
 }
 
-// oracle sees the true state of all servers and of what is under way to them: the top that nothing real reaches. It sends
-// an op to where it will be done first, and holds it while nowhere is good.
-func (p *plain) oracle(o *plainOp) (best *server) {
-	w := p.g.w
-	now := w.now
-	least := time.Duration(1 << 62)
+// oracle picks the server that should finish the op first, or none while no server is good. It sees the true state of
+// all servers and of the ops under way to them, and so is an upper bound that no real policy reaches.
+func (p *baselinePolicy) oracle(o *baselineOp) (best *server) {
+	sim := p.gateway.sim
+	now := sim.now
+	shortestWait := time.Duration(1 << 62)
 	for _, s := range o.group.members {
-		if !s.runs() || s.hung || s.draining || s.refuses || !w.passes(p.g, s, true) || !w.passes(p.g, s, false) || !p.ready(s) {
+		if !s.isUp() || s.hung || s.draining || s.refusing || !sim.reaches(p.gateway, s, true) ||
+			!sim.reaches(p.gateway, s, false) || !p.ready(s) {
 			continue
 		}
-		if s.fails >= 0.9 { // it fails nearly all
+		if s.errorShare >= 0.9 { // nearly all ops there fail
 			continue
 		}
-		if l := p.g.link(s); s.squeezed > 0 && s.open >= s.squeezed && (l.life != s.life || len(l.idle) == 0) {
+		if pool := p.gateway.pool(s); s.connectionLimit > 0 && s.openConnections >= s.connectionLimit &&
+			(pool.generation != s.generation || len(pool.idleSince) == 0) {
 			continue
 		}
-		want := choice.LongPast
-		switch o.t.Need {
+		minPosition := choice.LongPast
+		switch o.opType.Need {
 		case choice.Write, choice.Fresh:
-			if !s.primary() {
+			if !s.isPrimary() {
 				continue
 			}
 		case choice.Session:
-			if o.mark != choice.LongPast {
-				want = o.mark + p.g.base
+			if o.minPosition != choice.LongPast {
+				minPosition = o.minPosition + p.gateway.clockBase
 			}
 		case choice.Bounded:
-			want = now - o.t.Bound
+			minPosition = now - o.opType.Bound
 		}
-		if !s.primary() && want > s.position() {
+		if !s.isPrimary() && minPosition > s.position() {
 			continue
 		}
-		pace := s.pace()
-		if s.ramp(now) < 1 && float64(s.inflight) > float64(s.cores)*1.5 { // what is cold is not pushed over
+		speed := s.currentSpeed()
+		if s.speedShare(now) < 1 && float64(s.openAttempts) > float64(s.cores)*1.5 { // a cold server must not be overloaded
 			continue
 		}
-		wait := time.Duration(float64(max(0, s.inflight-s.cores+1)) * float64(w.meanWork) / (float64(s.cores) * pace))
-		wait += time.Duration(float64(w.meanWork)/pace) + 2*w.world.Network.Within
-		if p.g.zone != s.zone {
-			wait += 2 * (w.world.Network.Between - w.world.Network.Within)
+		wait := time.Duration(float64(max(0, s.openAttempts-s.cores+1)) * float64(sim.meanWork) / (float64(s.cores) * speed))
+		wait += time.Duration(float64(sim.meanWork)/speed) + 2*sim.world.Network.Within
+		if p.gateway.zone != s.zone {
+			wait += 2 * (sim.world.Network.Between - sim.world.Network.Within)
 		}
-		if s.fails > 0 {
-			wait = time.Duration(float64(wait) / (1 - s.fails))
+		if s.errorShare > 0 {
+			wait = time.Duration(float64(wait) / (1 - s.errorShare))
 		}
-		if s.primary() && !p.primaryOnly(o) {
-			wait += wait / 2 // it alone can do writes
+		if s.isPrimary() && !p.primaryOnly(o) {
+			wait += wait / 2 // keeps the primary free for writes
 		}
-		if wait < least {
-			best, least = s, wait
+		if wait < shortestWait {
+			best, shortestWait = s, wait
 		}
 	}
-	if best == nil || best.inflight >= best.cores+2 ||
-		now-p.g.base+least > p.last(o) && o.t.LateValue == 0 {
-		return nil // it would only wait there instead of here
+	if best == nil || best.openAttempts >= best.cores+2 ||
+		now-p.gateway.clockBase+shortestWait > p.usefulUntil(o) && o.opType.LateValue == 0 {
+		return nil // the op would only wait at the server instead of here, or be too late
 	}
 	return best
 }
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -1,9 +1,10 @@
-// Package emulator plays a deployment in virtual time: clients, gateways, database servers that follow one another's log,
-// the list of servers, the network, and what goes wrong. The gateways run the module that decides in service, and gossip's
-// state machine; everything else is a model, which docs/emulator.md describes with what it leaves out.
+// Package emulator simulates a deployment in virtual time: clients, gateways, database servers that replicate a log, the
+// discovery service, the network, and faults. The gateways run the decision module of package choice, and the state
+// machine of package gossip, as in service. Everything else is a model, which docs/emulator.md describes together with
+// what it leaves out. A checker tests the five rules of package choice throughout.
 //
-// A run is determined by its world, its faults, its arm and its seed. What chance brings to an op depends on the op alone, so
-// arms that are played with one seed meet the same ops, the same work and the same troubles.
+// A run is determined by its world, faults, arm and seed. The random numbers of an op depend on the op alone, so that arms
+// run with one seed get the same ops, the same work and the same faults.
 package emulator
 
 import (
@@ -16,230 +17,243 @@
 
 // Arm is what decides in the gateways of a run.
 type Arm struct {
-	Policy string `yaml:"policy"` // module, oracle, primary, turns, least or two; empty: module
+	Policy string `yaml:"policy"` // one of Policies; empty: module
 	Gossip bool   `yaml:"gossip"`
 }
 
-// run is one day under way.
-type run struct {
-	loop
-	world  World
-	arm    Arm
-	seed   uint64
-	rng    *rand.Rand // of the world's own making; never drawn from by what differs between arms
-	net    *rand.Rand // of the ways
-	types  []*opType
-	checks choice.Checks
-
-	gateways []*gateway
-	servers  []*server
-	groups   []*group
-	lists    *lists
-	clients  *clients
-	check    *checker
-	cuts     []*cut
-	gossips  *gossips
-	result   *Result
-	meanWork time.Duration
-	faults   []*Fault
-	mutant   func(g *gateway) decider // in tests: decides in the policy's place
+// simulation is the state of one run.
+type simulation struct {
+	eventLoop
+	world      World
+	arm        Arm
+	seed       uint64
+	rng        *rand.Rand // must not be drawn from by what differs between arms
+	networkRNG *rand.Rand // for the delays and the jitter of the network
+	opTypes    []*opType
+	checks     choice.Checks // by servers
+
+	gateways   []*gateway
+	servers    []*server
+	groups     []*group
+	discovery  *discoveryService
+	clients    *clients
+	checker    *checker
+	cuts       []*networkCut  // under way
+	gossipNet  *gossipNetwork // nil without gossip
+	result     *Result
+	meanWork   time.Duration // mean work of an op
+	faults     []*Fault
+	testPolicy func(g *gateway) policy // in tests: makes the policy instead of the arm
 }
 
 // opType is an op type with what is derived from it.
 type opType struct {
 	OpType
-	index int
-	need  choice.Need
-	told  choice.OpType
+	index  int
+	need   choice.Need
+	config choice.OpType // as the gateways are configured
 }
 
-// Run plays a day. The faults' order does not matter. An error tells what does not make sense.
-func Run(w World, faults []Fault, arm Arm, seed uint64) (*Result, error) {
-	r, err := newRun(w, faults, arm, seed)
+// Run simulates a world with its faults, which need not be in order of time. It returns an error if the world or a
+// fault is invalid.
+func Run(world World, faults []Fault, arm Arm, seed uint64) (*Result, error) {
+	sim, err := newSimulation(world, faults, arm, seed)
 	if err != nil {
 		return nil, err
 	}
-	r.play()
-	return r.result, nil
+	sim.run()
+	return sim.result, nil
 }
 
-// Trace plays a day as Run does and keeps the life of one op.
-func Trace(w World, faults []Fault, arm Arm, seed, op uint64) (*Result, error) {
-	r, err := newRun(w, faults, arm, seed)
+// Trace simulates as Run does, and also records the events of one op in Result.Trace.
+func Trace(world World, faults []Fault, arm Arm, seed, op uint64) (*Result, error) {
+	sim, err := newSimulation(world, faults, arm, seed)
 	if err != nil {
 		return nil, err
 	}
-	r.result.traced = op
-	r.play()
-	return r.result, nil
+	sim.result.tracedOp = op
+	sim.run()
+	return sim.result, nil
 }
 
-func newRun(w World, faults []Fault, arm Arm, seed uint64) (*run, error) {
-	r := &run{world: w, arm: arm, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), net: rand.New(rand.NewPCG(seed, 2))}
-	if err := w.check(); err != nil {
+// newSimulation sets up a run.
+func newSimulation(world World, faults []Fault, arm Arm, seed uint64) (*simulation, error) {
+	sim := &simulation{world: world, arm: arm, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)),
+		networkRNG: rand.New(rand.NewPCG(seed, 2))}
+	if err := world.check(); err != nil {
 		return nil, err
 	}
 	var shares, work float64
-	for i, t := range w.OpTypes {
+	for i, t := range world.OpTypes {
 		o := &opType{OpType: t, index: i, need: needs[t.Need]}
-		o.told = choice.OpType{Effect: effects[t.Effect], Scope: scopes[t.Scope], Window: t.Window, Need: o.need, Target: t.Target,
+		o.config = choice.OpType{Effect: effects[t.Effect], Scope: scopes[t.Scope], Window: t.Window, Need: o.need, Target: t.Target,
 			Timeout: t.Timeout, Value: t.Value, LateValue: t.LateValue}
 		if o.need == choice.Bounded {
-			o.told.Bound = t.Bound
+			o.config.Bound = t.Bound
 		}
-		r.types = append(r.types, o)
+		sim.opTypes = append(sim.opTypes, o)
 		shares += t.Share
 		work += t.Share * float64(t.Work)
 	}
-	r.meanWork = time.Duration(work / shares)
-	r.checks = checksOf[w.Reports.Checks]
-	r.result = newResult(r)
-	r.check = newChecker(r)
-	r.lists = &lists{w: r, lines: map[*server]*line{}, wrong: map[*server]choice.State{}}
-	for i := range w.Servers.Groups {
-		g := &group{w: r, index: i, lostAt: longAgo, tokens: map[uint64]*token{}}
-		r.groups = append(r.groups, g)
-		for j := range w.Servers.Members {
-			s := r.addServer(g, (i+j)%w.Zones, uint8(i%len(w.Servers.Kinds)))
-			s.started, s.applied = longAgo, 0
-			e := &line{s: s, state: choice.Ready, primary: j == 0 && w.List.Roles != "none", started: longAgo}
-			r.lists.lines[s] = e
-			r.lists.order = append(r.lists.order, e)
+	sim.meanWork = time.Duration(work / shares)
+	sim.checks = serverChecks[world.Reports.Checks]
+	sim.result = newResult(sim)
+	sim.checker = newChecker(sim)
+	sim.discovery = &discoveryService{sim: sim, entries: map[*server]*listEntry{}, falseStates: map[*server]choice.State{}}
+	for i := range world.Servers.Groups {
+		g := &group{sim: sim, index: i, primaryLostAt: longAgo, tokens: map[uint64]*token{}}
+		sim.groups = append(sim.groups, g)
+		for j := range world.Servers.Members {
+			s := sim.addServer(g, (i+j)%world.Zones, uint8(i%len(world.Servers.Kinds)))
+			s.startedAt, s.appliedTo = longAgo, 0
+			entry := &listEntry{server: s, state: choice.Ready, primary: j == 0 && world.List.Roles != "none", startedAt: longAgo}
+			sim.discovery.entries[s] = entry
+			sim.discovery.ordered = append(sim.discovery.ordered, entry)
 		}
 		g.primary = g.members[0]
 		g.primary.wasPrimary = true
 	}
-	for i := range w.Gateways.Count {
-		r.gateways = append(r.gateways, &gateway{w: r, index: i, zone: i % w.Zones})
+	for i := range world.Gateways.Count {
+		sim.gateways = append(sim.gateways, &gateway{sim: sim, index: i, zone: i % world.Zones})
 	}
-	r.clients = newClients(r)
+	sim.clients = newClients(sim)
 	if arm.Gossip {
-		r.gossips = newGossips(r)
+		sim.gossipNet = newGossipNetwork(sim)
 	}
 	for i := range faults {
 		f := faults[i]
-		if err := f.ready(r, i); err != nil {
+		if err := f.prepare(sim, i); err != nil {
 			return nil, err
 		}
-		r.faults = append(r.faults, &f)
+		sim.faults = append(sim.faults, &f)
 	}
-	return r, nil
+	return sim, nil
 }
 
-// play plays the day to its end.
-func (r *run) play() {
-	// Instances have found one another before the first op. Every arm begins at that time, so that days can be compared.
-	start := r.world.Gossip.Warm
-	for _, g := range r.gateways {
+// run runs the simulation to its end.
+func (sim *simulation) run() {
+	// The instances have found one another before the first op. In every arm ops begin at that time, so that runs can be
+	// compared.
+	start := sim.world.Gossip.Warm
+	for _, g := range sim.gateways {
 		g.boot()
-		r.at(start, g.opens)
+		sim.at(start, g.startServing)
 	}
-	if r.gossips != nil {
-		r.gossips.from = start
+	if sim.gossipNet != nil {
+		sim.gossipNet.countFrom = start
 	}
-	r.clients.begin(start)
-	for _, f := range r.faults {
-		f.plan(r, start)
+	sim.clients.startLoad(start)
+	for _, f := range sim.faults {
+		f.schedule(sim, start)
 	}
-	if late := r.world.List.RolesLate; r.world.List.Roles == "late" && late > 0 {
-		var look func()
-		look = func() {
-			r.lists.roles()
-			r.after(late/2, look)
+	if delay := sim.world.List.RolesLate; sim.world.List.Roles == "late" && delay > 0 {
+		var updateRoles func()
+		updateRoles = func() {
+			sim.discovery.updateRoles()
+			sim.after(delay/2, updateRoles)
 		}
-		r.after(late/2, look)
+		sim.after(delay/2, updateRoles)
 	}
-	end := start + r.world.Length
-	r.run(end)
-	for i := 0; i < 60 && r.clients.open > 0; i++ { // until all is answered, or can no more be
+	end := start + sim.world.Length
+	sim.runUntil(end)
+	for i := 0; i < 60 && sim.clients.openRequests > 0; i++ { // until all requests are answered, or for a minute at most
 		end += time.Second
-		r.run(end)
+		sim.runUntil(end)
 	}
-	r.check.end()
-	r.result.finish(start)
+	sim.checker.checkUnanswered()
+	sim.result.finish(start)
 }
 
-// addServer makes a server that does not run yet under the next id.
-func (r *run) addServer(g *group, zone int, kind uint8) *server {
-	id := uint32(len(r.servers) + 1)
-	k := r.world.Servers.Kinds[kind]
-	speed := k.Speed * (1 + r.world.Servers.Spread*(2*draw(r.seed, 0x5beed, uint64(id))-1))
-	s := &server{w: r, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed, slow: 1, slowLog: 1, life: 1}
-	r.servers = append(r.servers, s)
+// addServer adds a server to a group, under the next id. The caller sets its start and its position.
+func (sim *simulation) addServer(g *group, zone int, kind uint8) *server {
+	id := uint32(len(sim.servers) + 1)
+	k := sim.world.Servers.Kinds[kind]
+	speed := k.Speed * (1 + sim.world.Servers.Spread*(2*draw(sim.seed, 0x5beed, uint64(id))-1))
+	s := &server{sim: sim, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed, slowdown: 1, applySlowdown: 1,
+		generation: 1}
+	sim.servers = append(sim.servers, s)
 	g.members = append(g.members, s)
 	return s
 }
 
-// event notes something that a reader of the day wants to see beside the figures.
-func (r *run) event(format string, args ...any) {
-	if len(r.result.Events) < maxEvents {
-		r.result.Events = append(r.result.Events, Event{r.now, fmt.Sprintf(format, args...)})
+// recordEvent records an event that helps a reader to understand the results, while there is room.
+func (sim *simulation) recordEvent(format string, args ...any) {
+	if len(sim.result.Events) < maxEvents {
+		sim.result.Events = append(sim.result.Events, Event{sim.now, fmt.Sprintf(format, args...)})
 	}
 }
 
-// way is how long something takes between two zones.
-func (r *run) way(a, b int) time.Duration {
-	d := r.world.Network.Within
+// delay draws how long a message takes between two zones.
+func (sim *simulation) delay(a, b int) time.Duration {
+	d := sim.world.Network.Within
 	if a != b {
-		d = r.world.Network.Between
+		d = sim.world.Network.Between
 	}
-	return r.jittered(d)
+	return sim.withJitter(d)
 }
 
-func (r *run) jittered(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*r.world.Network.Jitter*r.net.ExpFloat64())
+// withJitter adds a random delay to d.
+func (sim *simulation) withJitter(d time.Duration) time.Duration {
+	return d + time.Duration(float64(d)*sim.world.Network.Jitter*sim.networkRNG.ExpFloat64())
 }
 
-// cut is a way that carries nothing.
-type cut struct {
-	fromGateway, toGateway map[int]bool // cut between these instances and the others
-	gateways, servers      map[int]bool // cut between these instances and these servers
-	toServer, toInstance   bool         // which way
-	among                  bool         // the cut lies between instances
+// networkCut is a part of the network that carries nothing.
+type networkCut struct {
+	fromGateways    map[int]bool // with betweenGateways, by index: what these send to toGateways is lost
+	toGateways      map[int]bool // with betweenGateways, by index
+	gateways        map[int]bool // without betweenGateways, by index: these are cut off from servers
+	servers         map[int]bool // without betweenGateways, by id
+	toServer        bool         // what gateways send to servers is lost
+	toInstance      bool         // what servers send to gateways is lost
+	betweenGateways bool         // the cut is between instances, else between instances and servers
 }
 
-// passes tells whether what a gateway sends reaches a server, and the other way.
-func (r *run) passes(g *gateway, s *server, there bool) bool {
-	for _, c := range r.cuts {
-		if !c.among && c.gateways[g.index] && c.servers[int(s.id)] && (there && c.toServer || !there && c.toInstance) {
+// reaches reports whether what a gateway sends reaches a server if toServer, else whether what the server sends
+// reaches the gateway.
+func (sim *simulation) reaches(g *gateway, s *server, toServer bool) bool {
+	for _, c := range sim.cuts {
+		if !c.betweenGateways && c.gateways[g.index] && c.servers[int(s.id)] &&
+			(toServer && c.toServer || !toServer && c.toInstance) {
 			return false
 		}
 	}
 	return true
 }
 
-// talks tells whether what one instance sends reaches another.
-func (r *run) talks(from, to int) bool {
-	for _, c := range r.cuts {
-		if c.among && (c.fromGateway[from] && c.toGateway[to]) {
+// gossipReaches reports whether what one instance sends reaches another.
+func (sim *simulation) gossipReaches(from, to int) bool {
+	for _, c := range sim.cuts {
+		if c.betweenGateways && (c.fromGateways[from] && c.toGateways[to]) {
 			return false
 		}
 	}
 	return true
 }
 
+// The values that the words in a World stand for.
 var (
 	needs = map[string]choice.Need{"write": choice.Write, "fresh": choice.Fresh, "session": choice.Session, "bounded": choice.Bounded,
 		"any": choice.Any}
-	effects  = map[string]choice.Effect{"retryable": choice.Retryable, "tokened": choice.Tokened, "non_retryable": choice.NonRetryable}
-	scopes   = map[string]choice.Scope{"group": choice.ScopeGroup, "zone": choice.ScopeZone, "all": choice.ScopeAll}
-	checksOf = map[string]choice.Checks{"none": choice.Unchecked, "refuses": choice.Refuses, "waits": choice.Waits}
+	effects      = map[string]choice.Effect{"retryable": choice.Retryable, "tokened": choice.Tokened, "non_retryable": choice.NonRetryable}
+	scopes       = map[string]choice.Scope{"group": choice.ScopeGroup, "zone": choice.ScopeZone, "all": choice.ScopeAll}
+	serverChecks = map[string]choice.Checks{"none": choice.Unchecked, "refuses": choice.Refuses, "waits": choice.Waits}
 )
 
-// deployment is what a gateway is told at its start.
-func (r *run) deployment(g *gateway) *choice.Deployment {
-	w := &r.world
-	d := &choice.Deployment{Gateways: w.Gateways.Count, Seed: mix(r.seed ^ uint64(g.index)<<20 ^ uint64(g.life)), EventInterval: w.Gateways.Round,
-		ListOnRequest: w.List.Asked, AskWithin: w.List.Within, Checks: r.checks, AnswersCarryPosition: w.Reports.Answers, WriteAgeCarried: w.Reports.Carried,
-		MayProbe: w.Gateways.Probes, MayCancel: w.Gateways.Cancels, MaxRetryAfter: w.Gateways.ComeBack, MaxSends: w.Gateways.MaxSends,
-		ColdFrom: w.Servers.ColdFrom, ColdTime: w.Servers.ColdTime, OverloadFactor: w.Rules.Overload,
-		OverloadTime: w.Rules.FallTime, ReportsPosition: w.Reports.Probes, ReportsRole: w.Reports.Probes}
-	for _, t := range r.types {
-		d.OpTypes = append(d.OpTypes, t.told)
+// deployment returns the description of its surroundings that a gateway gets at its start.
+func (sim *simulation) deployment(g *gateway) *choice.Deployment {
+	world := &sim.world
+	d := &choice.Deployment{Gateways: world.Gateways.Count, Seed: mix(sim.seed ^ uint64(g.index)<<20 ^ uint64(g.generation)),
+		EventInterval: world.Gateways.Round, ListOnRequest: world.List.Asked, AskWithin: world.List.Within, Checks: sim.checks,
+		AnswersCarryPosition: world.Reports.Answers, WriteAgeCarried: world.Reports.Carried, MayProbe: world.Gateways.Probes,
+		MayCancel: world.Gateways.Cancels, MaxRetryAfter: world.Gateways.ComeBack, MaxSends: world.Gateways.MaxSends,
+		ColdFrom: world.Servers.ColdFrom, ColdTime: world.Servers.ColdTime, OverloadFactor: world.Rules.Overload,
+		OverloadTime: world.Rules.FallTime, ReportsPosition: world.Reports.Probes, ReportsRole: world.Reports.Probes}
+	for _, t := range sim.opTypes {
+		d.OpTypes = append(d.OpTypes, t.config)
 	}
 	return d
 }
 
-// Model counts changes of the emulator or of what it runs that make earlier results unlike later ones. Kept runs of another
-// count are played again.
+// ModelVersion increases with each change of the emulator, or of what it runs, that makes results differ from earlier
+// ones. Stored runs of another version are run again.
 const Model = 1
