--- a/cmd/gorsewell/endings_test.go
+++ b/cmd/gorsewell/endings_test.go
@@ -78,13 +78,13 @@
 		t.Fatal(err)
 	}
 	for n := range 3 * sockets { // connections above the limit get an error and are closed
-		c, err := standin.Open(addr)
+		c, err := standin.DialTCP(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		startup := pgwire.AppendStartup(nil, "portal", "crm")
-		c.Say([][]byte{startup, startup[:9], nil, append(startup, pgwire.AppendQuery(nil, "")...)}[n%4])
+		c.WriteBytes([][]byte{startup, startup[:9], nil, append(startup, pgwire.AppendQuery(nil, "")...)}[n%4])
 	}
 	if maxClients := sockets - reservedDescriptors - (sockets-reservedDescriptors)/3; maxClients < 20 {
 		t.Fatalf("got a limit of %d clients, want at least 20", maxClients)
@@ -97,7 +97,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.Say(pgwire.AppendQuery(nil, fmt.Sprintf(lookupQuery, 900+n)))
+		c.WriteBytes(pgwire.AppendQuery(nil, fmt.Sprintf(lookupQuery, 900+n)))
 		<-arrived
 		waiting = append(waiting, c)
 	}
@@ -124,7 +124,7 @@
 	<-requests // of a watch
 	close(release)
 	for _, c := range waiting {
-		if got, err := c.Answer(); err != nil || got != "v" {
+		if got, err := c.ReadAnswer(); err != nil || got != "v" {
 			t.Errorf("client with an open op: got %q, %v, want v", got, err)
 		}
 	}
--- a/internal/clientside/clientside_test.go
+++ b/internal/clientside/clientside_test.go
@@ -121,7 +121,7 @@
 
 func expect(t *testing.T, c *standin.Client, want string) {
 	t.Helper()
-	if got, err := c.Answer(); err != nil || got != want {
+	if got, err := c.ReadAnswer(); err != nil || got != want {
 		t.Errorf("got %q, %v, want %q", got, err, want)
 	}
 }
@@ -131,13 +131,13 @@
 	_, d, addr, _ := startAcceptor(t, 8, ack)
 	input := pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery)
 	for _, step := range []int{1, 9, len(input)} {
-		c, err := standin.Open(addr)
+		c, err := standin.DialTCP(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		for rest := input; len(rest) > 0; rest = rest[min(step, len(rest)):] {
-			if err := c.Say(rest[:min(step, len(rest))]); err != nil {
+			if err := c.WriteBytes(rest[:min(step, len(rest))]); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -160,7 +160,7 @@
 	})
 	c := dial(t, addr)
 	queries := pgwire.AppendQuery(pgwire.AppendQuery(nil, lookupQuery), strings.Replace(lookupQuery, "id=1", "id=2", 1))
-	if err := c.Say(pgwire.AppendQuery(queries, ";")); err != nil {
+	if err := c.WriteBytes(pgwire.AppendQuery(queries, ";")); err != nil {
 		t.Fatal(err)
 	}
 	expect(t, c, "v1")
@@ -206,11 +206,11 @@
 	t.Parallel()
 	for name, leave := range map[string]func(c *standin.Client){
 		"close":     func(c *standin.Client) { c.Close() },
-		"terminate": func(c *standin.Client) { c.Say(pgwire.AppendMessage(nil, pgwire.Terminate)) },
+		"terminate": func(c *standin.Client) { c.WriteBytes(pgwire.AppendMessage(nil, pgwire.Terminate)) },
 	} {
 		_, d, addr, _ := startAcceptor(t, 8, func(*exchange.Exchange) {})
 		c := dial(t, addr)
-		c.Say(pgwire.AppendQuery(nil, lookupQuery))
+		c.WriteBytes(pgwire.AppendQuery(nil, lookupQuery))
 		time.Sleep(20 * time.Millisecond)
 		leave(c)
 		select {
@@ -245,9 +245,9 @@
 			t.Parallel()
 			a, d, addr, _ := startAcceptor(t, 8, func(*exchange.Exchange) {})
 			client := dial(t, addr)
-			client.Say(c.input)
+			client.WriteBytes(c.input)
 			waitUntil(t, name, func() bool { return c.once(a) })
-			client.Say([]byte(c.more))
+			client.WriteBytes([]byte(c.more))
 			if c.disconnect == nil {
 				client.Close()
 			} else if err := c.disconnect(client); err != nil {
@@ -313,7 +313,7 @@
 	t.Helper()
 	a, d, addr, stop := startAcceptor(t, 8, func(*exchange.Exchange) {})
 	c = dial(t, addr)
-	c.Say(numberedQueries(1))
+	c.WriteBytes(numberedQueries(1))
 	waitUntil(t, "the op is submitted", func() bool { return submittedCount(d) == 1 })
 	stopped = make(chan struct{})
 	go func() {
@@ -328,7 +328,7 @@
 		}
 		return false
 	})
-	c.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", "id=2", 1)))
+	c.WriteBytes(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", "id=2", 1)))
 	return d, c, stopped
 }
 
@@ -391,12 +391,12 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c, err := standin.Open(l.Addr().String())
+	c, err := standin.DialTCP(l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
+	c.WriteBytes(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	l.SetDeadline(exchange.Past) // the time to accept is over before the first call
@@ -424,7 +424,7 @@
 	}
 	a.settings.OpTypes[1].Timeout = time.Second
 	c := dial(t, addr)
-	c.Say(numberedQueries(1))
+	c.WriteBytes(numberedQueries(1))
 	waitUntil(t, "the op is submitted", func() bool { return submittedCount(d) == 1 })
 	stopped := make(chan struct{})
 	go func() {
@@ -451,10 +451,10 @@
 	} {
 		a, _, addr, _ := startAcceptor(t, 8, ack)
 		other, invalid := dial(t, addr), dial(t, addr)
-		if err := invalid.Say([]byte(c.in)); err != nil {
+		if err := invalid.WriteBytes([]byte(c.in)); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := invalid.Answer(); err != nil || got != c.want {
+		if got, err := invalid.ReadAnswer(); err != nil || got != c.want {
 			t.Errorf("%s: got %q, %v, want %q", c.name, got, err, c.want)
 		}
 		if n := a.counts.Malformed.Load() + a.counts.Unusable.Load(); n == 0 {
@@ -480,12 +480,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, err := standin.Open(addr)
+			c, err := standin.DialTCP(addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			c.Say(input)
+			c.WriteBytes(input)
 			c.SetDeadline(time.Now().Add(2900 * time.Millisecond))
 			if _, err := io.Copy(io.Discard, c.Conn); err != nil {
 				t.Error(err)
@@ -500,7 +500,7 @@
 		if got, err := c.Query(lookupQuery); err != nil || got != "v1" {
 			t.Errorf("an idle client: got %q, %v, want v1", got, err)
 		}
-		c.Say(pgwire.AppendQuery(nil, lookupQuery)[:30])
+		c.WriteBytes(pgwire.AppendQuery(nil, lookupQuery)[:30])
 		c.SetDeadline(time.Now().Add(2900 * time.Millisecond))
 		expect(t, c, "$")
 	})
@@ -516,11 +516,11 @@
 	})
 	busy, idle := dial(t, addr), dial(t, addr)
 	idle.Query(strings.Replace(lookupQuery, "id=1", "id=2", 1))
-	busy.Say(pgwire.AppendQuery(nil, lookupQuery))
+	busy.WriteBytes(pgwire.AppendQuery(nil, lookupQuery))
 	time.Sleep(idleTimeout + 50*time.Millisecond)
 	recent := dial(t, addr)
 	recent.Query(strings.Replace(lookupQuery, "id=1", "id=3", 1))
-	silent, err := standin.Open(addr) // takes the place of the idle one
+	silent, err := standin.DialTCP(addr) // takes the place of the idle one
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -545,7 +545,7 @@
 	a, _, addr, _ := startAcceptor(t, 16, ack)
 	for range 10 {
 		for range 40 {
-			c, err := standin.Open(addr)
+			c, err := standin.DialTCP(addr)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -588,7 +588,7 @@
 	a, d, addr, _ := startAcceptor(t, 8, func(op *exchange.Exchange) { held <- op })
 	c := dial(t, addr)
 	for n := range 3 {
-		c.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", fmt.Sprintf("id=%d", n), 1)))
+		c.WriteBytes(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", fmt.Sprintf("id=%d", n), 1)))
 		op := <-held
 		a.mu.Lock()
 		for k := range a.conns {
@@ -613,7 +613,7 @@
 		ack(op)
 	})
 	first, second := dial(t, addr), dial(t, addr)
-	first.Say(pgwire.AppendQuery(nil, lookupQuery))
+	first.WriteBytes(pgwire.AppendQuery(nil, lookupQuery))
 	time.Sleep(50 * time.Millisecond)
 	if got, err := second.Query(lookupQuery); err != nil || got != "C42710" {
 		t.Errorf("got %q, %v, want C42710", got, err)
@@ -642,7 +642,7 @@
 		ack(op)
 	})
 	c := dial(t, addr)
-	c.Say(numberedQueries(300))
+	c.WriteBytes(numberedQueries(300))
 	for n := range 300 {
 		expect(t, c, fmt.Sprintf("v%d", n))
 	}
@@ -657,7 +657,7 @@
 	t.Parallel()
 	a, d, addr, stop := startAcceptor(t, 8, func(*exchange.Exchange) {})
 	c := dial(t, addr)
-	c.Say(numberedQueries(maxPendingCommands + 3))
+	c.WriteBytes(numberedQueries(maxPendingCommands + 3))
 	waitUntil(t, "reading is paused", func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -703,7 +703,7 @@
 		ack(op)
 	})
 	c := dial(t, addr)
-	c.Say(append(pgwire.AppendQuery(nil, lookupQuery), "z\x00\x00\x00\x04"...))
+	c.WriteBytes(append(pgwire.AppendQuery(nil, lookupQuery), "z\x00\x00\x00\x04"...))
 	expect(t, c, "v1")
 	expect(t, c, "C08P01$")
 	if len(d.left) > 0 {
@@ -714,29 +714,29 @@
 func TestOtherStartupPackets(t *testing.T) {
 	t.Parallel()
 	_, _, addr, _ := startAcceptor(t, 8, ack)
-	c, err := standin.Open(addr)
+	c, err := standin.DialTCP(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.Say([]byte{0, 0, 0, 8, 4, 210, 22, 47}) // SSLRequest
+	c.WriteBytes([]byte{0, 0, 0, 8, 4, 210, 22, 47}) // SSLRequest
 	var response [1]byte
 	if _, err := c.Read(response[:]); err != nil || response[0] != 'N' {
 		t.Errorf("got %q, %v, want 'N'", response, err)
 	}
-	c.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
+	c.WriteBytes(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
 	expect(t, c, "")
 	expect(t, c, "v1")
 	for want, in := range map[string]string{
 		"C08P01$": "GET / HTTP/1.1\r\n\r\n",
 		"$":       "\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x01", // CancelRequest
 	} {
-		c, err := standin.Open(addr)
+		c, err := standin.DialTCP(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.Say([]byte(in))
+		c.WriteBytes([]byte(in))
 		expect(t, c, want)
 	}
 }
@@ -746,12 +746,12 @@
 	a, _, addr, _ := startAcceptor(t, 1, ack)
 	first := dial(t, addr)
 	first.Query(lookupQuery)
-	second, err := standin.Open(addr)
+	second, err := standin.DialTCP(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer second.Close()
-	second.Say(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
+	second.WriteBytes(pgwire.AppendQuery(pgwire.AppendStartup(nil, "portal", "crm"), lookupQuery))
 	expect(t, second, "C53300$")
 	if got, err := first.Query(lookupQuery); err != nil || got != "v1" || a.counts.ClientRefused.Load() != 1 {
 		t.Errorf("got %q, %v and %d refused connections, want v1 and 1", got, err, a.counts.ClientRefused.Load())
@@ -768,7 +768,7 @@
 	stuck, other := dial(t, addr), dial(t, addr)
 	stuck.Conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	for n := range maxPendingCommands { // replies beyond what both ends can buffer; the client never reads
-		stuck.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1,c=lookup,d=400", fmt.Sprintf("id=%d,c=lookup,d=1", n), 1)))
+		stuck.WriteBytes(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1,c=lookup,d=400", fmt.Sprintf("id=%d,c=lookup,d=1", n), 1)))
 	}
 	if got, err := other.Query(";"); err != nil || got != "I" {
 		t.Errorf("got %q, %v, want I", got, err)
@@ -789,7 +789,7 @@
 		}
 	})
 	disconnecting := dial(t, addr)
-	disconnecting.Say(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", "id=2", 1)))
+	disconnecting.WriteBytes(pgwire.AppendQuery(nil, strings.Replace(lookupQuery, "id=1", "id=2", 1)))
 	idle, busy := dial(t, addr), dial(t, addr)
 	stopped := make(chan struct{})
 	go func() {
@@ -805,7 +805,7 @@
 		t.Errorf("open connection: got %q, %v, want I", got, err)
 	}
 	time.Sleep(stopAcceptPeriod/2 - 200*time.Millisecond)
-	busy.Say(pgwire.AppendQuery(nil, lookupQuery)) // ends after the acceptor has begun to close connections
+	busy.WriteBytes(pgwire.AppendQuery(nil, lookupQuery)) // ends after the acceptor has begun to close connections
 	expect(t, busy, "v1")
 	expect(t, busy, "$")
 	expect(t, idle, "$")
@@ -862,12 +862,12 @@
 	t.Parallel()
 	a, _, addr, _ := startAcceptor(t, 1, func(*exchange.Exchange) {})
 	c := dial(t, addr)
-	c.Say(pgwire.AppendQuery(nil, lookupQuery)) // a reply is pending, so it is not evicted
+	c.WriteBytes(pgwire.AppendQuery(nil, lookupQuery)) // a reply is pending, so it is not evicted
 	waitUntil(t, "the op is submitted", func() bool { return submittedCount(a.dispatcher.(*fakeDispatcher)) == 1 })
 	a.counts.ClientOpen.Add(overflowConns) // stands for others that are not evicted
 	start := time.Now()
 	for range 40 { // all at once: separately, each could wait for a moment
-		c, err := standin.Open(addr)
+		c, err := standin.DialTCP(addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -187,23 +187,23 @@
 	}
 	for key, value := range map[string]string{"cluster": g.Cluster, "listen": g.Listen, "certificate": g.Certificate, "key": g.Key} {
 		if value == "" {
-			f.Wrong("gossip."+key, "is required if gossip is enabled")
+			f.AddProblem("gossip."+key, "is required if gossip is enabled")
 		}
 	}
 	if len(g.Cluster) > 64 {
-		f.Wrong("gossip.cluster", "is longer than 64 bytes")
+		f.AddProblem("gossip.cluster", "is longer than 64 bytes")
 	}
 	if len(g.Authorities) == 0 {
-		f.Wrong("gossip.authorities", "must name at least one authority if gossip is enabled")
+		f.AddProblem("gossip.authorities", "must name at least one authority if gossip is enabled")
 	}
 }
 
 // checkRange adds a problem if a value is outside its range. The problem names the bound.
 func checkRange[T int | time.Duration | yamlfile.Size](f *yamlfile.File, key string, v, minimum, maximum T) {
 	if v < minimum {
-		f.Wrong(key, "%v is less than the minimum %v", v, minimum)
+		f.AddProblem(key, "%v is less than the minimum %v", v, minimum)
 	} else if v > maximum {
-		f.Wrong(key, "%v is more than the maximum %v", v, maximum)
+		f.AddProblem(key, "%v is more than the maximum %v", v, maximum)
 	}
 }
 
@@ -212,6 +212,6 @@
 func checkAddress(f *yamlfile.File, key, v string, allowWildcard bool) {
 	host, port, err := net.SplitHostPort(v)
 	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 && !allowWildcard || n < 0 || n > 65535 || host == "" && !allowWildcard {
-		f.Wrong(key, "expected an address host:port, found %q", v)
+		f.AddProblem(key, "expected an address host:port, found %q", v)
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -33,7 +33,7 @@
 	walk = func(prefix string, structType reflect.Type) {
 		names, index := yamlfile.Fields(structType)
 		for _, name := range names {
-			if !f.Names(prefix + name) {
+			if !f.Has(prefix + name) {
 				t.Errorf("%s is missing in the example", prefix+name)
 			}
 			if field := structType.FieldByIndex(index[name]).Type; field.Kind() == reflect.Struct && field != reflect.TypeFor[Level]() {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -135,7 +135,7 @@
 
 func TestCountersAddUpOverAllOutcomes(t *testing.T) {
 	d, s, _ := startDispatch(t)
-	if standin.Breaks(func() { exerciseAllOutcomes(t, d, s) }) {
+	if standin.BreaksAssertion(func() { exerciseAllOutcomes(t, d, s) }) {
 		t.Error("an assertion failed, want none")
 	}
 }
@@ -203,7 +203,7 @@
 	} {
 		d, _, _ := startDispatch(t)
 		x := submitOp(d, 0, time.Second)
-		if !standin.Breaks(func() { f(d, x) }) {
+		if !standin.BreaksAssertion(func() { f(d, x) }) {
 			t.Errorf("%s: no assertion failed, want one", name)
 		}
 	}
--- a/internal/emulator/valid.go
+++ b/internal/emulator/valid.go
@@ -14,49 +14,49 @@
 	at := func(name string) string { return key + "." + name }
 	positive := func(name string, v float64) {
 		if v <= 0 {
-			f.Wrong(at(name), "must be more than 0")
+			f.AddProblem(at(name), "must be more than 0")
 		}
 	}
 	share := func(name string, v float64) {
 		if v < 0 || v > 1 {
-			f.Wrong(at(name), "%v is not a share from 0 to 1", v)
+			f.AddProblem(at(name), "%v is not a share from 0 to 1", v)
 		}
 	}
 	oneOf := func(name, v string, all ...string) {
 		if !slices.Contains(all, v) {
-			f.Wrong(at(name), "%q is not one of %v", v, all)
+			f.AddProblem(at(name), "%q is not one of %v", v, all)
 		}
 	}
 	within := func(name string, v, limit int) {
 		if v < 1 || v > limit {
-			f.Wrong(at(name), "%d is not within 1 to %d", v, limit)
+			f.AddProblem(at(name), "%d is not within 1 to %d", v, limit)
 		}
 	}
 	positive("length", float64(w.Length))
 	if w.Length > 24*time.Hour {
-		f.Wrong(at("length"), "%v is more than a day", w.Length)
+		f.AddProblem(at("length"), "%v is more than a day", w.Length)
 	}
 	within("zones", w.Zones, 200)
 	within("gateways.count", w.Gateways.Count, 1000)
 	within("gateways.max_sends", w.Gateways.MaxSends, 200)
 	if w.Gateways.Round < time.Millisecond {
-		f.Wrong(at("gateways.round"), "%v is less than 1ms", w.Gateways.Round)
+		f.AddProblem(at("gateways.round"), "%v is less than 1ms", w.Gateways.Round)
 	}
 	within("servers.groups", w.Servers.Groups, 4000)
 	within("servers.members", w.Servers.Members, 32)
 	if n := w.Servers.Groups * w.Servers.Members; n > 20000 {
-		f.Wrong(at("servers.groups"), "%d servers in all are more than 20000", n)
+		f.AddProblem(at("servers.groups"), "%d servers in all are more than 20000", n)
 	}
 	within("servers.queue", w.Servers.Queue, 1<<20)
 	if len(w.Servers.Kinds) == 0 {
-		f.Wrong(at("servers.kinds"), "at least one kind is needed")
+		f.AddProblem(at("servers.kinds"), "at least one kind is needed")
 	}
 	for i, k := range w.Servers.Kinds {
 		within(fmt.Sprintf("servers.kinds[%d].cores", i), k.Cores, 1024)
 		positive(fmt.Sprintf("servers.kinds[%d].speed", i), k.Speed)
 	}
 	if w.Servers.Spread < 0 || w.Servers.Spread >= 1 {
-		f.Wrong(at("servers.speed_spread"), "%v is not from 0 to less than 1", w.Servers.Spread)
+		f.AddProblem(at("servers.speed_spread"), "%v is not from 0 to less than 1", w.Servers.Spread)
 	}
 	share("servers.cold_from", w.Servers.ColdFrom)
 	for name, v := range map[string]float64{"network.loss": w.Network.Loss, "network.twice": w.Network.Twice, "network.reorder": w.Network.Reorder,
@@ -67,21 +67,21 @@
 	oneOf("list.roles", w.List.Roles, "none", "start", "late")
 	oneOf("reports.checks", w.Reports.Checks, "none", "refuses", "waits")
 	if w.Load.PerSecond <= 0 && w.Load.Use <= 0 && len(w.Load.Arrivals) == 0 {
-		f.Wrong(at("load"), "one of per_second, use and arrivals is needed")
+		f.AddProblem(at("load"), "one of per_second, use and arrivals is needed")
 	}
 	for i := 1; i < len(w.Load.Curve); i++ {
 		if w.Load.Curve[i].At <= w.Load.Curve[i-1].At {
-			f.Wrong(at(fmt.Sprintf("load.curve[%d].at", i)), "is not later than the previous point")
+			f.AddProblem(at(fmt.Sprintf("load.curve[%d].at", i)), "is not later than the previous point")
 		}
 	}
 	for i := 1; i < len(w.Load.Arrivals); i++ {
 		if w.Load.Arrivals[i] < w.Load.Arrivals[i-1] {
-			f.Wrong(at(fmt.Sprintf("load.arrivals[%d]", i)), "is earlier than the previous arrival")
+			f.AddProblem(at(fmt.Sprintf("load.arrivals[%d]", i)), "is earlier than the previous arrival")
 			break
 		}
 	}
 	if len(w.OpTypes) == 0 || len(w.OpTypes) > 200 {
-		f.Wrong(at("op_types"), "%d op types are not within 1 to 200", len(w.OpTypes))
+		f.AddProblem(at("op_types"), "%d op types are not within 1 to 200", len(w.OpTypes))
 	}
 	shares := 0.0
 	for i, t := range w.OpTypes {
@@ -93,15 +93,15 @@
 		positive(opTypeKey("target"), float64(t.Target))
 		positive(opTypeKey("timeout"), float64(t.Timeout))
 		if t.Timeout < t.Target {
-			f.Wrong(at(opTypeKey("timeout")), "%v is less than the target %v", t.Timeout, t.Target)
+			f.AddProblem(at(opTypeKey("timeout")), "%v is less than the target %v", t.Timeout, t.Target)
 		}
 		if t.Share < 0 || t.Vary < 0 || t.Noise < 0 || t.Value < 0 {
-			f.Wrong(at(opTypeKey("share")), "share, vary, noise and value must be 0 or more")
+			f.AddProblem(at(opTypeKey("share")), "share, vary, noise and value must be 0 or more")
 		}
 		shares += t.Share
 	}
 	if shares <= 0 && len(w.OpTypes) > 0 {
-		f.Wrong(at("op_types"), "no op type has a share above 0")
+		f.AddProblem(at("op_types"), "no op type has a share above 0")
 	}
 }
 
@@ -118,29 +118,29 @@
 	for i, x := range faults {
 		at := fmt.Sprintf("%s[%d]", key, i)
 		if faultKinds[x.Kind] == nil {
-			f.Wrong(at+".kind", "unknown kind of fault %q, want one of %s", x.Kind, strings.Join(names, ", "))
+			f.AddProblem(at+".kind", "unknown kind of fault %q, want one of %s", x.Kind, strings.Join(names, ", "))
 			continue
 		}
 		if x.Share < 0 || x.Share > 1 {
-			f.Wrong(at+".share", "%v is not a share from 0 to 1", x.Share)
+			f.AddProblem(at+".share", "%v is not a share from 0 to 1", x.Share)
 		}
 		if x.Count < 0 || x.Size < 0 || x.For < 0 || x.Back < 0 || x.Every < 0 {
-			f.Wrong(at, "count, size, for, back and every must be 0 or more")
+			f.AddProblem(at, "count, size, for, back and every must be 0 or more")
 		}
 		if x.At > w.Length {
-			f.Wrong(at+".at", "%v is after the end of the run at %v", x.At, w.Length)
+			f.AddProblem(at+".at", "%v is after the end of the run at %v", x.At, w.Length)
 		}
 		if !slices.Contains([]string{"", "all", "primaries", "replicas"}, x.Of) {
-			f.Wrong(at+".of", "%q is not one of all, primaries and replicas", x.Of)
+			f.AddProblem(at+".of", "%q is not one of all, primaries and replicas", x.Of)
 		}
 		if x.Zone < 0 || x.Zone > w.Zones {
-			f.Wrong(at+".zone", "%d is not one of the %d zones, which count from 1", x.Zone, w.Zones)
+			f.AddProblem(at+".zone", "%d is not one of the %d zones, which count from 1", x.Zone, w.Zones)
 		}
 		if x.Group < 0 || x.Group > w.Servers.Groups {
-			f.Wrong(at+".group", "%d is not one of the %d groups, which count from 1", x.Group, w.Servers.Groups)
+			f.AddProblem(at+".group", "%d is not one of the %d groups, which count from 1", x.Group, w.Servers.Groups)
 		}
 		if x.Every > 0 && x.Every < 100*time.Millisecond {
-			f.Wrong(at+".every", "%v is less than 100ms", x.Every)
+			f.AddProblem(at+".every", "%v is less than 100ms", x.Every)
 		}
 		variants := map[string][]string{"liar": append(slices.Clone(Lies), "", "mixed"), "one_sided": {"", "answers", "sends"},
 			"partition": {"", "one_way"}}[x.Kind]
@@ -148,12 +148,12 @@
 			variants = []string{""}
 		}
 		if !slices.Contains(variants, x.How) {
-			f.Wrong(at+".how", "%q is not a variant of %s", x.How, x.Kind)
+			f.AddProblem(at+".how", "%q is not a variant of %s", x.How, x.Kind)
 		}
 		shares := map[string]bool{"error": true, "probe_fail": true, "neighbour": true, "one_sided": true, "partition": true,
 			"network": true, "deploy": true}
 		if shares[x.Kind] && x.Size > 1 {
-			f.Wrong(at+".size", "%v is not a share from 0 to 1", x.Size)
+			f.AddProblem(at+".size", "%v is not a share from 0 to 1", x.Size)
 		}
 	}
 }
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -117,19 +117,19 @@
 			a.Label = name
 		}
 		if raw.Policy != "" && !slices.Contains(emulator.Policies, raw.Policy) {
-			f.Wrong(key+".policy", "%q is not a policy; expected one of %s", raw.Policy, strings.Join(emulator.Policies, ", "))
+			f.AddProblem(key+".policy", "%q is not a policy; expected one of %s", raw.Policy, strings.Join(emulator.Policies, ", "))
 		}
 		// Arms do not share slices, because each may change its own.
 		a.World.OpTypes = slices.Clone(e.World.OpTypes)
 		a.World.Servers.Kinds = slices.Clone(e.World.Servers.Kinds)
-		raw.World.Into(&a.World)
+		raw.World.ReadInto(&a.World)
 		a.Faults = slices.Clone(e.Faults)
-		if raw.Faults.Given() {
+		if raw.Faults.IsSet() {
 			a.Faults = nil
-			raw.Faults.Into(&a.Faults)
+			raw.Faults.ReadInto(&a.Faults)
 		}
 		var more []emulator.Fault
-		raw.More.Into(&more)
+		raw.More.ReadInto(&more)
 		a.Faults = append(a.Faults, more...)
 		a.Faults = slices.DeleteFunc(a.Faults, func(x emulator.Fault) bool { return slices.Contains(raw.Without, x.Kind) })
 		a.World.Valid(f, key+".world")
@@ -141,29 +141,29 @@
 // validate checks the values of all keys.
 func (e *File) validate(f *yamlfile.File) {
 	if e.Name == "" || strings.ContainsAny(e.Name, "/\\ ") {
-		f.Wrong("name", "%q is not a valid name; expected letters, digits and dashes", e.Name)
+		f.AddProblem("name", "%q is not a valid name; expected letters, digits and dashes", e.Name)
 	}
 	if len(e.Arms) == 0 {
-		f.Wrong("arms", "no arms found; expected at least one")
+		f.AddProblem("arms", "no arms found; expected at least one")
 	}
 	if e.Seeds < 1 || e.Seeds > 10000 {
-		f.Wrong("seeds", "%d is out of range; expected 1 to 10000", e.Seeds)
+		f.AddProblem("seeds", "%d is out of range; expected 1 to 10000", e.Seeds)
 	}
 	e.World.Valid(f, "world")
 	emulator.ValidFaults(f, "faults", e.Faults, &e.World)
 	checkArm := func(key, name string) {
 		if name != "" && e.Arm(name) == nil {
-			f.Wrong(key, "%q is not an arm; expected one of %s", name, strings.Join(e.armNames(), ", "))
+			f.AddProblem(key, "%q is not an arm; expected one of %s", name, strings.Join(e.armNames(), ", "))
 		}
 	}
 	checkArm("base", e.Base)
 	for i, expectation := range e.Expect {
 		key := fmt.Sprintf("expect[%d]", i)
 		if expectation.Name == "" {
-			f.Wrong(key, "name is missing")
+			f.AddProblem(key, "name is missing")
 		}
 		if expectation.Arm == "" {
-			f.Wrong(key, "arm is missing")
+			f.AddProblem(key, "arm is missing")
 		}
 		checkArm(key+".arm", expectation.Arm)
 		checkArm(key+".over", expectation.Over)
@@ -172,7 +172,7 @@
 			checkArm(fmt.Sprintf("%s.between[%d]", key, j), name)
 		}
 		if len(expectation.Between) != 0 && len(expectation.Between) != 2 {
-			f.Wrong(key+".between", "expected two arms, the floor and the top")
+			f.AddProblem(key+".between", "expected two arms, the floor and the top")
 		}
 		comparisons := 0
 		for _, isSet := range []bool{expectation.Over != "", expectation.Less != "", len(expectation.Between) > 0} {
@@ -181,28 +181,28 @@
 			}
 		}
 		if comparisons > 1 {
-			f.Wrong(key, "expected at most one of over, less and between")
+			f.AddProblem(key, "expected at most one of over, less and between")
 		}
 		if !slices.Contains([]string{"", "mean", "least", "most"}, expectation.Of) {
-			f.Wrong(key+".of", "%q is not valid; expected mean, least or most", expectation.Of)
+			f.AddProblem(key+".of", "%q is not valid; expected mean, least or most", expectation.Of)
 		}
 		if expectation.AtLeast == nil && expectation.AtMost == nil {
-			f.Wrong(key, "expected at_least or at_most, found neither")
+			f.AddProblem(key, "expected at_least or at_most, found neither")
 		}
 		if !e.hasMetric(expectation.Metric) {
-			f.Wrong(key+".metric", "%q is not a metric; expected one of %s", expectation.Metric, strings.Join(e.Metrics(), ", "))
+			f.AddProblem(key+".metric", "%q is not a metric; expected one of %s", expectation.Metric, strings.Join(e.Metrics(), ", "))
 		}
 	}
 	for i, chart := range e.Charts {
 		key := fmt.Sprintf("charts[%d]", i)
 		if chart.Name == "" || strings.ContainsAny(chart.Name, "/\\ ") {
-			f.Wrong(key+".name", "%q is not a valid file name; it must not be empty or contain slashes, backslashes or spaces", chart.Name)
+			f.AddProblem(key+".name", "%q is not a valid file name; it must not be empty or contain slashes, backslashes or spaces", chart.Name)
 		}
 		if !slices.Contains([]string{"bars", "time", "line"}, chart.Kind) {
-			f.Wrong(key+".kind", "%q is not valid; expected bars, time or line", chart.Kind)
+			f.AddProblem(key+".kind", "%q is not valid; expected bars, time or line", chart.Kind)
 		}
 		if chart.Metric != "" && !e.hasMetric(chart.Metric) {
-			f.Wrong(key+".metric", "%q is not a metric; expected one of %s", chart.Metric, strings.Join(e.Metrics(), ", "))
+			f.AddProblem(key+".metric", "%q is not a metric; expected one of %s", chart.Metric, strings.Join(e.Metrics(), ", "))
 		}
 		for j, name := range chart.Arms {
 			checkArm(fmt.Sprintf("%s.arms[%d]", key, j), name)
--- a/internal/serverside/serverside_test.go
+++ b/internal/serverside/serverside_test.go
@@ -159,7 +159,7 @@
 	for _, after := range []time.Duration{0, time.Millisecond, longQuietPeriod / 4} {
 		var asked atomic.Int32
 		row := func(n int32) []byte { return standin.Row(fmt.Sprint("value ", n), "replica", 1) }
-		p, ended := newPool(t, 8, &standin.Database{Late: after, Answer: func(string) ([]byte, bool) {
+		p, ended := newPool(t, 8, &standin.Database{TrailingDelay: after, Answer: func(string) ([]byte, bool) {
 			n := asked.Add(1)
 			return append(row(n), row(n)...), true
 		}})
@@ -250,7 +250,7 @@
 }
 
 func TestSurplusAfterStartupReplyFailsConnection(t *testing.T) {
-	p, ended := newPool(t, 8, &standin.Database{Welcome: append(pgwire.AppendStartupReply(nil), standin.Row("v", "replica", 1)...)})
+	p, ended := newPool(t, 8, &standin.Database{StartupReply: append(pgwire.AppendStartupReply(nil), standin.Row("v", "replica", 1)...)})
 	p.sendUntil(newOp(t), 0, testServer, p.testDeadline())
 	if r := ended.wait(t); r.Result != choice.NoConnection || p.counts.Sent.Load() != 0 {
 		t.Errorf("got %+v, want result NoConnection and nothing sent", r)
@@ -268,7 +268,7 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	p, ended := newPool(t, 8, &standin.Database{Welcome: pgwire.AppendError(nil, "FATAL", "53300", "too many", "")})
+	p, ended := newPool(t, 8, &standin.Database{StartupReply: pgwire.AppendError(nil, "FATAL", "53300", "too many", "")})
 	p.Locate(map[uint32]string{8: refused.Addr().String(), 9: silent.Addr().String()})
 	for _, id := range []uint32{testServer, 8, 9} {
 		p.sendUntil(newOp(t), 0, id, p.testDeadline())
@@ -447,7 +447,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			arrived, proceed := make(chan struct{}), make(chan struct{})
-			p, ended := newPool(t, 8, &standin.Database{Comes: func() { arrived <- struct{}{}; <-proceed },
+			p, ended := newPool(t, 8, &standin.Database{OnStartup: func() { arrived <- struct{}{}; <-proceed },
 				Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
 			p.settings.ConnectTimeout = 10 * time.Second
 			op, beginBy := newOp(t), p.testDeadline()
@@ -519,7 +519,7 @@
 	p, _ := newPool(t, 8, &standin.Database{Answer: func(string) ([]byte, bool) { return standin.Row("v", "replica", 1), true }})
 	op := newOp(t)
 	p.sends[op] = &job{}
-	if !standin.Breaks(func() { p.sendUntil(op, 1, testServer, p.testDeadline()) }) {
+	if !standin.BreaksAssertion(func() { p.sendUntil(op, 1, testServer, p.testDeadline()) }) {
 		t.Error("a second open send of an op breaks no invariant")
 	}
 	delete(p.sends, op)
@@ -528,7 +528,7 @@
 	serverEnd.Close()
 	c := &conn{pool: p, server: testServer, net: clientEnd}
 	c.readBuffer.Filled(copy(c.readBuffer.Space(), "unread"))
-	if !standin.Breaks(func() { c.execute(&job{beginBy: p.testDeadline(), deadline: p.testDeadline()}) }) {
+	if !standin.BreaksAssertion(func() { c.execute(&job{beginBy: p.testDeadline(), deadline: p.testDeadline()}) }) {
 		t.Error("a connection with unread bytes breaks no invariant")
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -20,13 +20,13 @@
 // Database is a database server that answers queries with a function.
 type Database struct {
 	// OnStartup, if not nil, is called after a client's startup message and before the reply to it.
-	Comes func()
+	OnStartup func()
 	// StartupReply is the reply to a client's startup message; if nil, the client is accepted.
-	Welcome []byte
+	StartupReply []byte
 	// Answer returns the bytes to write for a query, and whether the connection then stays open.
 	Answer func(query string) (bytes []byte, keepOpen bool)
 	// TrailingDelay is the delay before the part of an answer that follows its first ReadyForQuery.
-	Late time.Duration
+	TrailingDelay time.Duration
 }
 
 // Serve accepts connections until the listener is closed.
@@ -52,10 +52,10 @@
 		}
 		buffer.Discard(size)
 	}
-	if d.Comes != nil {
-		d.Comes()
+	if d.OnStartup != nil {
+		d.OnStartup()
 	}
-	reply := d.Welcome
+	reply := d.StartupReply
 	if reply == nil {
 		reply = pgwire.AppendStartupReply(nil)
 	}
@@ -70,10 +70,10 @@
 			continue
 		}
 		answer, keepOpen := d.Answer(string(m.Body[:len(m.Body)-1]))
-		if end := bytes.Index(answer, pgwire.AppendReady(nil)) + 6; d.Late > 0 && end > 5 {
+		if end := bytes.Index(answer, pgwire.AppendReady(nil)) + 6; d.TrailingDelay > 0 && end > 5 {
 			c.Write(answer[:end])
 			answer = answer[end:]
-			time.Sleep(d.Late)
+			time.Sleep(d.TrailingDelay)
 		}
 		if _, err := c.Write(answer); err != nil || !keepOpen {
 			return
@@ -121,18 +121,18 @@
 
 // Dial connects and completes the startup.
 func Dial(addr string) (*Client, error) {
-	c, err := Open(addr)
+	c, err := DialTCP(addr)
 	if err == nil {
-		err = c.Say(pgwire.AppendStartup(nil, "portal", "crm"))
+		err = c.WriteBytes(pgwire.AppendStartup(nil, "portal", "crm"))
 	}
 	if err == nil {
-		_, err = c.Answer()
+		_, err = c.ReadAnswer()
 	}
 	return c, err
 }
 
 // DialTCP connects without sending a startup message. The deadline of the connection is 20 s after the call.
-func Open(addr string) (*Client, error) {
+func DialTCP(addr string) (*Client, error) {
 	nc, err := net.DialTimeout("tcp", addr, 5*time.Second)
 	if err != nil {
 		return nil, err
@@ -141,22 +141,22 @@
 }
 
 // WriteBytes writes bytes unchanged.
-func (c *Client) Say(bytes []byte) error {
+func (c *Client) WriteBytes(bytes []byte) error {
 	_, err := c.Write(bytes)
 	return err
 }
 
 // Query sends a query and returns its answer in the form of ReadAnswer.
 func (c *Client) Query(statement string) (string, error) {
-	if err := c.Say(pgwire.AppendQuery(nil, statement)); err != nil {
+	if err := c.WriteBytes(pgwire.AppendQuery(nil, statement)); err != nil {
 		return "", err
 	}
-	return c.Answer()
+	return c.ReadAnswer()
 }
 
 // ReadAnswer reads messages up to ReadyForQuery or the end of the connection and returns a summary of them: the values of
 // rows, the code after C and the detail after D of errors, I for an empty query, and $ for the end of the connection.
-func (c *Client) Answer() (summary string, err error) {
+func (c *Client) ReadAnswer() (summary string, err error) {
 	for {
 		m, ok, err := c.buffer.Next()
 		if err != nil {
@@ -270,7 +270,7 @@
 
 // BreaksAssertion reports whether an assertion fails while f runs, both in debug builds, where it panics, and in others,
 // where it is counted.
-func Breaks(f func()) (broke bool) {
+func BreaksAssertion(f func()) (broke bool) {
 	before := invariant.Broken()
 	defer func() {
 		recover() // from the panic of a debug build
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -140,7 +140,7 @@
 
 // AddProblem adds a problem with the value of a key that was found by a check after reading. Its line is that of
 // File.Line.
-func (f *File) Wrong(key, format string, args ...any) {
+func (f *File) AddProblem(key, format string, args ...any) {
 	f.add(f.Line(key), key, format, args...)
 }
 
@@ -159,7 +159,7 @@
 }
 
 // Has reports whether the file contains a key.
-func (f *File) Names(key string) bool {
+func (f *File) Has(key string) bool {
 	_, ok := f.keyLines[key]
 	return ok
 }
@@ -209,11 +209,11 @@
 }
 
 // IsSet reports whether the file contains the part.
-func (r *Raw) Given() bool { return r.node != nil }
+func (r *Raw) IsSet() bool { return r.node != nil }
 
 // ReadInto reads the part into the value that target points to. Fields that the part does not contain keep their values.
 // Problems are added to those of the file.
-func (r *Raw) Into(target any) {
+func (r *Raw) ReadInto(target any) {
 	if r.node != nil {
 		r.file.readValue(r.key, r.node, reflect.ValueOf(target).Elem(), 0)
 	}
--- a/internal/yamlfile/yamlfile_test.go
+++ b/internal/yamlfile/yamlfile_test.go
@@ -34,8 +34,8 @@
 	if f.Err() != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v and error %v, want the values of the file and the defaults", got, f.Err())
 	}
-	f.Wrong("parts[1].wait", "too long")
-	f.Wrong("parts[1].size", "not there") // gets the line of the enclosing parts[1]
+	f.AddProblem("parts[1].wait", "too long")
+	f.AddProblem("parts[1].size", "not there") // gets the line of the enclosing parts[1]
 	if got := f.Err().Error(); got != "f:6: parts[1].size: not there\nf:7: parts[1].wait: too long" {
 		t.Error(got)
 	}
