--- a/internal/emulator/liar.go
+++ b/internal/emulator/liar.go
@@ -24,7 +24,7 @@
 }
 
 // LiarVariants lists the variants of the fault liar.
-var Lies = []string{"primaries", "all", "accuse", "replay", "future", "contradict", "praise", "names"}
+var LiarVariants = []string{"primaries", "all", "accuse", "replay", "future", "contradict", "praise", "names"}
 
 // startLiars makes liars of some instances until the returned function is called.
 func (net *gossipNetwork) startLiars(f *Fault, gateways []*gateway) (end func()) {
@@ -32,7 +32,7 @@
 	for i, g := range gateways {
 		variant := f.How
 		if variant == "" || variant == "mixed" {
-			variant = Lies[i%len(Lies)]
+			variant = LiarVariants[i%len(LiarVariants)]
 		}
 		l := &liar{instance: net.instances[g.index], variant: variant,
 			rng: rand.New(rand.NewPCG(net.sim.seed, 0x11a4+uint64(g.index))), lastNumber: 1 << 20}
--- a/internal/emulator/loop.go
+++ b/internal/emulator/loop.go
@@ -125,7 +125,7 @@
 
 // DrawWork returns the work of one send of an op, drawn from the same distributions as in a run, so that servers that
 // emulate work on real sockets can be compared with simulated ones. It depends on its arguments alone.
-func (o *OpType) Draw(seed, op uint64, try, send int) time.Duration {
+func (o *OpType) DrawWork(seed, op uint64, try, send int) time.Duration {
 	u := draw(seed, 0x3043, op)
 	work := float64(o.Work) * lognormal(u, o.Vary)
 	if o.Exp {
@@ -135,7 +135,7 @@
 }
 
 // Uniform returns a number between 0 and 1 that depends on its arguments alone.
-func Chance(seed uint64, parts ...uint64) float64 { return draw(seed, parts...) }
+func Uniform(seed uint64, parts ...uint64) float64 { return draw(seed, parts...) }
 
 // Exponential converts a uniform number from 0 to 1 to an exponentially distributed one of mean 1.
 func Exponential(u float64) float64 { return exponential(u) }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -175,7 +175,7 @@
 }
 
 // WorstService returns the lowest service in any given number of consecutive seconds.
-func (r *Result) Worst(seconds int) float64 {
+func (r *Result) WorstService(seconds int) float64 {
 	worst := 1.0
 	for i := 0; i+seconds <= len(r.Windows); i++ {
 		value, earned := 0.0, 0.0
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -256,4 +256,4 @@
 
 // ModelVersion increases with each change of the emulator, or of what it runs, that makes results differ from earlier
 // ones. Stored runs of another version are run again.
-const Model = 1
+const ModelVersion = 1
--- a/internal/emulator/valid.go
+++ b/internal/emulator/valid.go
@@ -142,7 +142,7 @@
 		if x.Every > 0 && x.Every < 100*time.Millisecond {
 			f.AddProblem(at+".every", "%v is less than 100ms", x.Every)
 		}
-		variants := map[string][]string{"liar": append(slices.Clone(Lies), "", "mixed"), "one_sided": {"", "answers", "sends"},
+		variants := map[string][]string{"liar": append(slices.Clone(LiarVariants), "", "mixed"), "one_sided": {"", "answers", "sends"},
 			"partition": {"", "one_way"}}[x.Kind]
 		if variants == nil {
 			variants = []string{""}
--- a/internal/experiment/metric.go
+++ b/internal/experiment/metric.go
@@ -77,7 +77,7 @@
 // computeMetrics returns the metrics of a run's result by name.
 func computeMetrics(r *emulator.Result, seconds float64) map[string]float64 {
 	metrics := map[string]float64{
-		"service": r.Service(), "worst10": r.Worst(10), "worst_type": 1, "rules_broken": float64(r.RulesBroken()),
+		"service": r.Service(), "worst10": r.WorstService(10), "worst_type": 1, "rules_broken": float64(r.RulesBroken()),
 		"sends_per_op": ratio(float64(r.Sends), r.Asked), "probes_per_op": ratio(float64(r.Probes), r.Asked),
 		"busy_share": ratio(float64(r.Busy), float64(r.Taken)), "errored_share": ratio(float64(r.Errored), float64(r.Taken)),
 		"retries_per_op": ratio(float64(r.Retries), r.Asked),
--- a/internal/experiment/names_test.go
+++ b/internal/experiment/names_test.go
@@ -150,7 +150,7 @@
 		"list_wrong lying_position mass_restart neighbour network one_sided partition probe_fail refuse slow slow_apply "+
 		"squeeze vanish")
 	compare(t, "the policies", strings.Join(emulator.Policies, " "), "module oracle primary turns least two")
-	compare(t, "the variants of liars", strings.Join(emulator.Lies, " "), "primaries all accuse replay future contradict praise names")
+	compare(t, "the variants of liars", strings.Join(emulator.LiarVariants, " "), "primaries all accuse replay future contradict praise names")
 	var metrics []string
 	for _, m := range MetricDocs() {
 		metrics = append(metrics, m[0])
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -142,7 +142,7 @@
 		Faults  []emulator.Fault
 		Decides emulator.Arm
 		Seed    uint64
-	}{emulator.Model, a.World, a.Faults, a.Decides, seed})
+	}{emulator.ModelVersion, a.World, a.Faults, a.Decides, seed})
 	if err != nil {
 		panic(err) // all types in it can be encoded
 	}
--- a/internal/loopback/fleet.go
+++ b/internal/loopback/fleet.go
@@ -430,7 +430,7 @@
 	}
 	s.busy++
 	s.fleet.checker.workStarted(s, j, s.position())
-	work := j.opType.Draw(s.fleet.seed, j.op, j.attempt, s.num)
+	work := j.opType.DrawWork(s.fleet.seed, j.op, j.attempt, s.num)
 	time.AfterFunc(time.Duration(float64(work)/s.currentSpeed()), func() {
 		s.fleet.mu.Lock()
 		defer s.fleet.mu.Unlock()
@@ -455,7 +455,7 @@
 		s.startWork(next)
 	}
 	failed := s.errorShare > 0 &&
-		emulator.Chance(s.fleet.seed, 0xfa17, j.op, uint64(j.attempt), uint64(s.num)) < s.errorShare
+		emulator.Uniform(s.fleet.seed, 0xfa17, j.op, uint64(j.attempt), uint64(s.num)) < s.errorShare
 	if j.token != nil {
 		j.token.pending--
 	}
@@ -520,7 +520,7 @@
 	}
 	s.applying = true
 	generation, position := s.generation, s.backlog[0]
-	uniform := emulator.Chance(s.fleet.seed, 0x10f, uint64(s.num), uint64(position))
+	uniform := emulator.Uniform(s.fleet.seed, 0x10f, uint64(s.num), uint64(position))
 	work := time.Duration(float64(s.fleet.world.Log.Apply) * emulator.Exponential(uniform) * s.applySlowdown / s.currentSpeed())
 	time.AfterFunc(work, func() {
 		s.fleet.mu.Lock()
--- a/internal/loopback/rig.go
+++ b/internal/loopback/rig.go
@@ -587,7 +587,7 @@
 				if r.Gossip {
 					variant := f.How
 					if variant == "" || variant == "mixed" {
-						variant = emulator.Lies[i%len(emulator.Lies)]
+						variant = emulator.LiarVariants[i%len(emulator.LiarVariants)]
 					}
 					r.startLiar(p, variant)
 				}
