--- a/cmd/gorsewellctl/experiment.go
+++ b/cmd/gorsewellctl/experiment.go
@@ -43,7 +43,7 @@
 			if isTerminal(os.Stderr) {
 				o.Progress = func(done, total int) { fmt.Fprintf(os.Stderr, "\r%s: %d of %d runs ", e.Name, done, total) }
 			}
-			r, err := e.Play(c.Context(), o)
+			r, err := e.Run(c.Context(), o)
 			if o.Progress != nil {
 				fmt.Fprintln(os.Stderr)
 			}
--- a/cmd/gorsewellctl/load.go
+++ b/cmd/gorsewellctl/load.go
@@ -39,15 +39,15 @@
 					return usageError{fmt.Errorf("--arm %q: %s has no arm of this name", arm, args[0])}
 				}
 			}
-			if a.Decides.Policy != "" && a.Decides.Policy != "module" {
-				return usageError{fmt.Errorf("arm %s has policy %q; over sockets only module is supported", a.Name, a.Decides.Policy)}
+			if a.Decider.Policy != "" && a.Decider.Policy != "module" {
+				return usageError{fmt.Errorf("arm %s has policy %q; over sockets only module is supported", a.Name, a.Decider.Policy)}
 			}
 			if _, err := os.Stat(program); err != nil {
 				return usageError{fmt.Errorf("--program: %w", err)}
 			}
 			slog.SetLogLoggerLevel(slog.LevelError) // hides the log lines of gossip instances in this process
-			r, err := loopback.Play(c.Context(), loopback.Day{World: a.World, Faults: a.Faults, Gossip: a.Decides.Gossip, Seed: seed, Program: program,
-				Warm: warm, Keep: keep})
+			r, err := loopback.Run(c.Context(), loopback.Scenario{World: a.World, Faults: a.Faults, Gossip: a.Decider.Gossip, Seed: seed, Program: program,
+				WarmUp: warm, LogDir: keep})
 			if err != nil {
 				return err
 			}
@@ -111,7 +111,7 @@
 		}
 		d.Types[t.Name] = typeSummary{service, float64(t.Latency.ValueAtQuantile(50)) / 1000, float64(t.Latency.ValueAtQuantile(99)) / 1000}
 	}
-	for _, log := range r.Gateways {
+	for _, log := range r.CounterLogs {
 		for line := range strings.Lines(log) {
 			if !strings.Contains(line, "event=gossip_counters") {
 				continue
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -46,7 +46,7 @@
 	Label   string
 	World   emulator.World
 	Faults  []emulator.Fault
-	Decides emulator.Arm // the policy that decides, and whether gateways gossip
+	Decider emulator.Arm // the policy that decides, and whether gateways gossip
 }
 
 // Expectation is a bound on a metric, or on a comparison of arms by a metric.
@@ -112,7 +112,7 @@
 	for _, name := range names {
 		raw := e.ArmsRaw[name]
 		key := "arms." + name
-		a := Arm{Name: name, Label: raw.Label, World: e.World, Decides: emulator.Arm{Policy: raw.Policy, Gossip: raw.Gossip}}
+		a := Arm{Name: name, Label: raw.Label, World: e.World, Decider: emulator.Arm{Policy: raw.Policy, Gossip: raw.Gossip}}
 		if a.Label == "" {
 			a.Label = name
 		}
--- a/internal/experiment/names_test.go
+++ b/internal/experiment/names_test.go
@@ -61,7 +61,7 @@
 	run := Run{Metrics: map[string]float64{}, Windows: []emulator.Window{{}}, Events: []emulator.Event{{}}, Stories: []emulator.Story{{}}}
 	compare(t, "the keys of a run", jsonKeys(t, run), "arm events events.At events.What key metrics seed stories stories.At stories.Gateway stories.Op stories.OpType "+
 		"stories.Rule stories.What windows windows.Asked windows.Earned windows.Value")
-	result := Result{Arms: map[string]map[string]Figure{"ARM": {"METRIC": {}}}, Expect: []Outcome{{}}, Stories: []emulator.Story{{}}}
+	result := Result{Arms: map[string]map[string]Estimate{"ARM": {"METRIC": {}}}, Expect: []Outcome{{}}, Stories: []emulator.Story{{}}}
 	compare(t, "the keys of a result", jsonKeys(t, result), "arms arms.ARM arms.ARM.METRIC arms.ARM.METRIC.high arms.ARM.METRIC.least arms.ARM.METRIC.low arms.ARM.METRIC.mean "+
 		"arms.ARM.METRIC.most expect expect.bound expect.high expect.holds expect.low expect.name expect.value experiment "+
 		"order seeds stories stories.At stories.Gateway stories.Op stories.OpType stories.Rule stories.What")
@@ -89,7 +89,7 @@
 
 // A run that an earlier build has stored is found by this hash, so only a new emulator.Model may change it.
 func TestHashOfRunIsStable(t *testing.T) {
-	arm := Arm{Name: "a", World: emulator.World{Length: time.Second}, Faults: []emulator.Fault{{Kind: "hang", Size: 2}}, Decides: emulator.Arm{Policy: "two", Gossip: true}}
+	arm := Arm{Name: "a", World: emulator.World{Length: time.Second}, Faults: []emulator.Fault{{Kind: "hang", Size: 2}}, Decider: emulator.Arm{Policy: "two", Gossip: true}}
 	if got, want := arm.key(3), "b95bbcf2e4b68bc6"; got != want {
 		t.Errorf("key of the run: got %s, want %s", got, want)
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -75,7 +75,7 @@
 }
 
 // format returns the mean with its confidence interval as text.
-func (f Figure) format(decimals int) string {
+func (f Estimate) format(decimals int) string {
 	if f.Low == f.High {
 		return fmt.Sprintf("%.*f", decimals, f.Mean)
 	}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -38,12 +38,12 @@
 
 // Result is the result of an experiment.
 type Result struct {
-	Name    string                       `json:"experiment"`
-	Seeds   []uint64                     `json:"seeds"`
-	Arms    map[string]map[string]Figure `json:"arms"`
-	Expect  []Outcome                    `json:"expect"`
-	Order   []string                     `json:"order"` // names of the arms in the order of the file
-	Stories []emulator.Story             `json:"stories,omitempty"`
+	Name    string                         `json:"experiment"`
+	Seeds   []uint64                       `json:"seeds"`
+	Arms    map[string]map[string]Estimate `json:"arms"`
+	Expect  []Outcome                      `json:"expect"`
+	Order   []string                       `json:"order"` // names of the arms in the order of the file
+	Stories []emulator.Story               `json:"stories,omitempty"`
 
 	source *File    // nil if the result was read from a folder
 	runs   [][]*Run // by arm and seed
@@ -70,7 +70,7 @@
 }
 
 // Run runs an experiment. Runs that an earlier, interrupted call has stored in the folder are not repeated.
-func (e *File) Play(ctx context.Context, o Options) (*Result, error) {
+func (e *File) Run(ctx context.Context, o Options) (*Result, error) {
 	seeds, seedFrom := e.Seeds, e.SeedFrom
 	if o.Seeds > 0 {
 		seeds = o.Seeds
@@ -87,7 +87,7 @@
 			return nil, err
 		}
 	}
-	result := &Result{Name: e.Name, Arms: map[string]map[string]Figure{}, source: e}
+	result := &Result{Name: e.Name, Arms: map[string]map[string]Estimate{}, source: e}
 	for i := range seeds {
 		result.Seeds = append(result.Seeds, seedFrom+uint64(i))
 	}
@@ -142,7 +142,7 @@
 		Faults  []emulator.Fault
 		Decides emulator.Arm
 		Seed    uint64
-	}{emulator.ModelVersion, a.World, a.Faults, a.Decides, seed})
+	}{emulator.ModelVersion, a.World, a.Faults, a.Decider, seed})
 	if err != nil {
 		panic(err) // all types in it can be encoded
 	}
@@ -159,7 +159,7 @@
 			return stored, nil
 		}
 	}
-	result, err := emulator.Run(a.World, a.Faults, a.Decides, seed)
+	result, err := emulator.Run(a.World, a.Faults, a.Decider, seed)
 	if err != nil {
 		return nil, fmt.Errorf("arm %s, seed %d: %w", a.Name, seed, err)
 	}
@@ -186,7 +186,7 @@
 // summarize computes the estimates and the outcomes of the expectations from all runs.
 func (r *Result) summarize() {
 	for a, name := range r.Order {
-		r.Arms[name] = map[string]Figure{}
+		r.Arms[name] = map[string]Estimate{}
 		for _, metric := range r.source.Metrics() {
 			if values, ok := r.values(a, metric); ok {
 				r.Arms[name][metric] = estimate(values)
@@ -230,7 +230,7 @@
 func (r *Result) evaluate(expectation *Expectation) Outcome {
 	outcome := Outcome{Name: expectation.Name}
 	armValues, _ := r.values(r.armIndex(expectation.Arm), expectation.Metric)
-	var e Figure
+	var e Estimate
 	if len(expectation.Between) == 2 {
 		floor, _ := r.values(r.armIndex(expectation.Between[0]), expectation.Metric)
 		top, _ := r.values(r.armIndex(expectation.Between[1]), expectation.Metric)
--- a/internal/experiment/stats.go
+++ b/internal/experiment/stats.go
@@ -8,7 +8,7 @@
 )
 
 // Estimate is a mean over the seeds with its 95 percent confidence interval, which is computed by bootstrap.
-type Figure struct {
+type Estimate struct {
 	Mean  float64 `json:"mean"`
 	Low   float64 `json:"low"`   // lower end of the interval
 	High  float64 `json:"high"`  // upper end of the interval
@@ -20,11 +20,11 @@
 
 // estimate returns the estimate for the values of the seeds, in their order. The random numbers of the bootstrap are
 // always the same, so that the same values give the same interval.
-func estimate(values []float64) Figure {
+func estimate(values []float64) Estimate {
 	if len(values) == 0 {
-		return Figure{}
+		return Estimate{}
 	}
-	e := Figure{Mean: stat.Mean(values, nil), Least: slices.Min(values), Most: slices.Max(values)}
+	e := Estimate{Mean: stat.Mean(values, nil), Least: slices.Min(values), Most: slices.Max(values)}
 	e.Low, e.High = bootstrap(len(values), func(sample []int) float64 {
 		sum := 0.0
 		for _, i := range sample {
--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -50,31 +50,31 @@
 
 // Result is the result of a run on sockets.
 type Result struct {
-	Asked    float64 // number of ops sent by clients
-	Value    float64 // total value of those ops
-	Earned   float64 // value of the acks, reduced for late ones
-	Types    []TypeResult
-	Windows  []emulator.Window // one per second
-	Busy     int64
-	Errored  int64
-	Retries  int64
-	Lost     int64    // attempts whose connection ended without an answer
-	Garbled  int64    // answers to another op than the one sent
-	TimedOut int64    // attempts whose client left because its time was up
-	Crossed  int64    // attempts repeated because the gateway closed the idle connection at the same moment
-	Broken   [5]int64 // violations by rule
-	Stories  []string // descriptions of the first violations
-	Events   []Event
-	Lateness *hdrhistogram.Histogram // delay of sending after the intended time, in microseconds
-	Unsent   int64                   // ops that were not sent because maxOpenOps ops were in progress
-	Sends    int64
-	Gateways []string        // by gateway, the log lines that hold its counters
-	Homes    []HomeResult    // by gateway
-	Ready    []time.Duration // startup times of gateways that were started again
+	Asked        float64 // number of ops sent by clients
+	Value        float64 // total value of those ops
+	Earned       float64 // value of the acks, reduced for late ones
+	Types        []TypeResult
+	Windows      []emulator.Window // one per second
+	Busy         int64
+	Errored      int64
+	Retries      int64
+	Lost         int64    // attempts whose connection ended without an answer
+	Mismatched   int64    // answers to another op than the one sent
+	TimedOut     int64    // attempts whose client left because its time was up
+	CloseRaces   int64    // attempts repeated because the gateway closed the idle connection at the same moment
+	Broken       [5]int64 // violations by rule
+	Stories      []string // descriptions of the first violations
+	Events       []Event
+	Lateness     *hdrhistogram.Histogram // delay of sending after the intended time, in microseconds
+	Unsent       int64                   // ops that were not sent because maxOpenOps ops were in progress
+	Sends        int64
+	CounterLogs  []string        // by gateway, the log lines that hold its counters
+	ByGateway    []GatewayResult // by gateway
+	StartupTimes []time.Duration // startup times of gateways that were started again
 }
 
 // GatewayResult is the result of the ops of the clients of one gateway.
-type HomeResult struct {
+type GatewayResult struct {
 	Value  float64
 	Earned float64
 }
@@ -176,7 +176,7 @@
 	c := &clients{world: w, gateways: gateways, pickGateway: pickGateway, marksRetries: marksRetries,
 		plan: planOps(w, seed), idleConns: map[int][]*conn{}, lastWrites: map[int]int64{}, slots: make(chan struct{}, maxOpenOps)}
 	c.result = &Result{Lateness: hdrhistogram.New(1, 60e6, 2), Windows: make([]emulator.Window, int(w.Length/time.Second)+1),
-		Homes: make([]HomeResult, len(gateways))}
+		ByGateway: make([]GatewayResult, len(gateways))}
 	for _, t := range w.OpTypes {
 		c.result.Types = append(c.result.Types, TypeResult{Name: t.Name, Latency: hdrhistogram.New(1, 120e6, 2)})
 	}
@@ -227,7 +227,7 @@
 	c.result.Lateness.RecordValue(max(1, time.Since(c.start.Add(p.arrival)).Microseconds()))
 	result.Asked++
 	result.Value += p.opType.Value
-	c.result.Homes[p.homeGateway].Value += p.opType.Value
+	c.result.ByGateway[p.homeGateway].Value += p.opType.Value
 	window := &c.result.Windows[min(int(p.arrival/time.Second), len(c.result.Windows)-1)]
 	window.Asked++
 	window.Value += p.opType.Value
@@ -247,7 +247,7 @@
 				earned = p.opType.Value * p.opType.LateValue
 			}
 			result.Earned += earned
-			c.result.Homes[p.homeGateway].Earned += earned
+			c.result.ByGateway[p.homeGateway].Earned += earned
 			window.Earned += earned
 			c.mu.Unlock()
 			return
@@ -321,7 +321,7 @@
 		// more on a new connection.
 		k.Close()
 		c.mu.Lock()
-		c.result.Crossed++
+		c.result.CloseRaces++
 		c.mu.Unlock()
 		fresh, dialErr := c.dial(c.pickGateway(p.homeGateway))
 		if dialErr != nil {
@@ -348,7 +348,7 @@
 	switch {
 	case a.code == "":
 		if !strings.HasPrefix(a.value, id+" by ") {
-			c.result.Garbled++
+			c.result.Mismatched++
 			c.result.Broken[0]++
 			c.result.Stories = append(c.result.Stories, fmt.Sprintf("rule 1: op %s was answered %q", id, a.value))
 			return attemptOutcome{}
--- a/internal/loopback/endings_test.go
+++ b/internal/loopback/endings_test.go
@@ -47,8 +47,8 @@
 			change: func(w *emulator.World) { w.Length, w.Gateways.Count = 4*time.Second, 10 },
 			faults: []emulator.Fault{{Kind: "gateway_crash", At: time.Second, Share: 0.7, Back: 200 * time.Millisecond}},
 			check: func(t *testing.T, res *Result) {
-				if len(res.Ready) != 7 || res.Lost+res.Crossed == 0 {
-					t.Errorf("gateways restarted: got %d, want 7; attempts cut off: got %d, want more than 0", len(res.Ready), res.Lost+res.Crossed)
+				if len(res.StartupTimes) != 7 || res.Lost+res.CloseRaces == 0 {
+					t.Errorf("gateways restarted: got %d, want 7; attempts cut off: got %d, want more than 0", len(res.StartupTimes), res.Lost+res.CloseRaces)
 				}
 			},
 		},
@@ -62,11 +62,11 @@
 			},
 			faults: []emulator.Fault{{Kind: "gateway_roll", At: time.Second, Share: 0.7, Back: 200 * time.Millisecond}},
 			check: func(t *testing.T, res *Result) {
-				if len(res.Ready) != 7 || res.Lost != 0 {
-					t.Errorf("gateways restarted: got %d, want 7; attempts cut off: got %d, want 0", len(res.Ready), res.Lost)
+				if len(res.StartupTimes) != 7 || res.Lost != 0 {
+					t.Errorf("gateways restarted: got %d, want 7; attempts cut off: got %d, want 0", len(res.StartupTimes), res.Lost)
 				}
 				stopped, lostClients := 0, int64(0)
-				for _, log := range res.Gateways {
+				for _, log := range res.CounterLogs {
 					runs := strings.Split(strings.TrimSpace(log), "\n")
 					stopped += len(runs)
 					for _, run := range runs {
@@ -95,11 +95,11 @@
 			w := emulator.Default()
 			w.Load.PerSecond, w.List.Within = 90, 10*time.Second
 			test.change(&w)
-			res, err := Play(context.Background(), Day{World: w, Seed: 5, Program: program, Faults: test.faults})
+			res, err := Run(context.Background(), Scenario{World: w, Seed: 5, Program: program, Faults: test.faults})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if res.RulesBroken() > 0 || res.Garbled > 0 {
+			if res.RulesBroken() > 0 || res.Mismatched > 0 {
 				t.Errorf("violations by rule: got %v, want none: %q", res.Broken, res.Stories)
 			}
 			if res.Service() < 0.3 || res.Sends < 100 {
@@ -110,7 +110,7 @@
 					t.Error(e.What)
 				}
 			}
-			for _, took := range res.Ready {
+			for _, took := range res.StartupTimes {
 				if took > 10*time.Second {
 					t.Errorf("startup time: got %v, want at most 10s", took)
 				}
@@ -118,7 +118,7 @@
 			if test.check != nil {
 				test.check(t, res)
 			}
-			t.Logf("service %.2f, %d sends, %d attempts cut off, startup times %v", res.Service(), res.Sends, res.Lost, res.Ready)
+			t.Logf("service %.2f, %d sends, %d attempts cut off, startup times %v", res.Service(), res.Sends, res.Lost, res.StartupTimes)
 		})
 	}
 }
--- a/internal/loopback/mixed_test.go
+++ b/internal/loopback/mixed_test.go
@@ -41,7 +41,7 @@
 			w.OpTypes[i].Effect = "non_retryable"
 		}
 	}
-	res, err := Play(context.Background(), Day{World: w, Seed: 5, Program: program, Shape: changeSettings, Faults: []emulator.Fault{
+	res, err := Run(context.Background(), Scenario{World: w, Seed: 5, Program: program, ChangeSettings: changeSettings, Faults: []emulator.Fault{
 		{Kind: "crash", At: 1500 * time.Millisecond, For: 1500 * time.Millisecond, Count: 1, Of: "primaries"},
 		{Kind: "error", At: time.Second, For: 4 * time.Second, Share: 1, Of: "primaries", Size: 0.3}}})
 	if err != nil {
@@ -53,7 +53,7 @@
 // serviceBySettings returns the service of the clients of gateways with the old settings and with the new settings.
 func serviceBySettings(res *Result) (bySettings [2]float64) {
 	var value [2]float64
-	for i, h := range res.Homes {
+	for i, h := range res.ByGateway {
 		value[i%2] += h.Value
 		bySettings[i%2] += h.Earned
 	}
--- a/internal/loopback/rig.go
+++ b/internal/loopback/rig.go
@@ -27,26 +27,26 @@
 )
 
 // Scenario describes a run on sockets.
-type Day struct {
+type Scenario struct {
 	World   emulator.World
 	Faults  []emulator.Fault
 	Gossip  bool
 	Seed    uint64
 	Program string        // path of the gateway's binary
-	Warm    time.Duration // time that the gateways run before the first op
-	Keep    string        // folder for the gateways' logs; none are kept if it is empty
+	WarmUp  time.Duration // time that the gateways run before the first op
+	LogDir  string        // folder for the gateways' logs; none are kept if it is empty
 
 	// ChangeSettings, if not nil, changes the settings of one gateway and reports whether its clients mark retries as
 	// such. It simulates a migration, in which gateways with different settings use the same servers.
-	Shape func(index int, settings map[string]any) (marksRetries bool)
+	ChangeSettings func(index int, settings map[string]any) (marksRetries bool)
 }
 
 // marksRetries reports whether the clients of a gateway mark retries as such.
-func (d *Day) marksRetries(index int) bool {
-	if d.Shape == nil {
+func (d *Scenario) marksRetries(index int) bool {
+	if d.ChangeSettings == nil {
 		return d.World.Clients.Marks
 	}
-	return d.Shape(index, deploymentSettings(&d.World))
+	return d.ChangeSettings(index, deploymentSettings(&d.World))
 }
 
 // allocatedAddrs counts the addresses that freeAddr has returned.
@@ -54,7 +54,7 @@
 
 // harness runs one scenario.
 type harness struct {
-	Day
+	Scenario
 	dir           string
 	fleet         *fleet
 	checker       *checker
@@ -83,15 +83,15 @@
 }
 
 // FaultKinds lists the kinds of faults that can be injected on sockets.
-var Playable = []string{"crash", "hang", "slow", "error", "refuse", "slow_apply", "drain", "list_silent",
+var FaultKinds = []string{"crash", "hang", "slow", "error", "refuse", "slow_apply", "drain", "list_silent",
 	"gateway_crash", "gateway_roll", "gateway_pause", "liar"}
 
 // Run runs a scenario. It takes as long as the scenario's world lasts and leaves nothing running.
-func Play(ctx context.Context, d Day) (*Result, error) {
+func Run(ctx context.Context, d Scenario) (*Result, error) {
 	for i, f := range d.Faults {
-		if !slices.Contains(Playable, f.Kind) {
+		if !slices.Contains(FaultKinds, f.Kind) {
 			return nil, fmt.Errorf("faults[%d]: %q cannot be injected on sockets; expected one of %s", i, f.Kind,
-				strings.Join(Playable, ", "))
+				strings.Join(FaultKinds, ", "))
 		}
 	}
 	dir, err := os.MkdirTemp("", "gorsewell-loopback-")
@@ -99,7 +99,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &harness{Day: d, dir: dir, liars: map[int]*liar{}}
+	r := &harness{Scenario: d, dir: dir, liars: map[int]*liar{}}
 	r.checker = newChecker(&r.World)
 	if r.fleet, err = newFleet(&r.World, d.Seed, r.checker); err != nil {
 		return nil, err
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	select {
-	case <-time.After(d.Warm):
+	case <-time.After(d.WarmUp):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -141,9 +141,9 @@
 	}
 	res.Stories = append(res.Stories, r.checker.stories...)
 	res.Events, res.Sends = r.checker.events, r.checker.sends
-	res.Ready = r.checker.startupTimes
+	res.StartupTimes = r.checker.startupTimes
 	for _, p := range r.gateways {
-		res.Gateways = append(res.Gateways, p.counterLines)
+		res.CounterLogs = append(res.CounterLogs, p.counterLines)
 	}
 	return res, nil
 }
@@ -240,8 +240,8 @@
 	}
 	for _, p := range r.gateways {
 		values := deploymentSettings(&r.World)
-		if r.Shape != nil {
-			r.Shape(p.index, values)
+		if r.ChangeSettings != nil {
+			r.ChangeSettings(p.index, values)
 		}
 		settings, err := json.Marshal(values)
 		if err != nil {
@@ -308,8 +308,8 @@
 		return err
 	}
 	var log io.Writer = io.Discard
-	if p.harness.Keep != "" {
-		f, err := os.OpenFile(filepath.Join(p.harness.Keep, fmt.Sprintf("g%04d.log", p.index)),
+	if p.harness.LogDir != "" {
+		f, err := os.OpenFile(filepath.Join(p.harness.LogDir, fmt.Sprintf("g%04d.log", p.index)),
 			os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 		if err != nil {
 			return err
