--- a/internal/experiment/chart.go
+++ b/internal/experiment/chart.go
@@ -14,10 +14,11 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// colours is a palette whose colours people with colour blindness can tell apart too.
+// colours is a palette whose colours people with colour blindness can tell apart.
 var colours = []color.Color{
-	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff},
-	color.RGBA{0x56, 0xb4, 0xe9, 0xff}, color.RGBA{0xe6, 0x9f, 0x00, 0xff}, color.RGBA{0x00, 0x00, 0x00, 0xff}, color.RGBA{0x99, 0x99, 0x99, 0xff},
+	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff},
+	color.RGBA{0xcc, 0x79, 0xa7, 0xff}, color.RGBA{0x56, 0xb4, 0xe9, 0xff}, color.RGBA{0xe6, 0x9f, 0x00, 0xff},
+	color.RGBA{0x00, 0x00, 0x00, 0xff}, color.RGBA{0x99, 0x99, 0x99, 0xff},
 }
 
 // colour returns the colour of the series with an index.
@@ -64,7 +65,7 @@
 	plotter.YErrors
 }
 
-// armLabel returns the label of an arm, or its name if the experiment file is not at hand.
+// armLabel returns the label of an arm, or its name if the result was read from a folder.
 func (r *Result) armLabel(arm string) string {
 	if r.source != nil {
 		return r.source.Arm(arm).Label
@@ -85,7 +86,8 @@
 		}
 		names = append(names, r.armLabel(arm))
 		points.XYs = append(points.XYs, plotter.XY{X: float64(i), Y: estimate.Mean})
-		points.YErrors = append(points.YErrors, struct{ Low, High float64 }{estimate.Mean - estimate.Low, estimate.High - estimate.Mean})
+		points.YErrors = append(points.YErrors,
+			struct{ Low, High float64 }{estimate.Mean - estimate.Low, estimate.High - estimate.Mean})
 		low, high = min(low, estimate.Low), max(high, estimate.High)
 	}
 	axisStart := 0.0
@@ -94,7 +96,8 @@
 		p.Y.Label.Text += " (axis does not begin at 0)"
 	}
 	for i, xy := range points.XYs {
-		bar, err := plotter.NewPolygon(plotter.XYs{{X: xy.X - 0.32, Y: axisStart}, {X: xy.X + 0.32, Y: axisStart}, {X: xy.X + 0.32, Y: xy.Y}, {X: xy.X - 0.32, Y: xy.Y}})
+		bar, err := plotter.NewPolygon(plotter.XYs{{X: xy.X - 0.32, Y: axisStart}, {X: xy.X + 0.32, Y: axisStart},
+			{X: xy.X + 0.32, Y: xy.Y}, {X: xy.X - 0.32, Y: xy.Y}})
 		if err != nil {
 			return err
 		}
@@ -138,7 +141,8 @@
 		estimate, ok := r.Arms[arm][metric]
 		x, err := strconv.ParseFloat(r.armLabel(arm), 64)
 		if !ok || err != nil {
-			return fmt.Errorf("arm %s: expected a value of %s and a number as label, found label %q", arm, metric, r.armLabel(arm))
+			return fmt.Errorf("arm %s: expected a value of %s and a number as label, found label %q", arm, metric,
+				r.armLabel(arm))
 		}
 		name := arm
 		for i := len(arm) - 1; i > 0; i-- {
@@ -152,7 +156,8 @@
 			names = append(names, name)
 		}
 		lines[name].XYs = append(lines[name].XYs, plotter.XY{X: x, Y: estimate.Mean})
-		lines[name].YErrors = append(lines[name].YErrors, struct{ Low, High float64 }{estimate.Mean - estimate.Low, estimate.High - estimate.Mean})
+		lines[name].YErrors = append(lines[name].YErrors,
+			struct{ Low, High float64 }{estimate.Mean - estimate.Low, estimate.High - estimate.Mean})
 	}
 	for i, name := range names {
 		s := lines[name]
@@ -175,8 +180,9 @@
 	return nil
 }
 
-// drawTime draws the service of each arm over the time of a run, over all seeds together and in at most about 60
-// windows. Dashed lines mark where the faults of the first arm start and end.
+// drawTime draws the service of each arm over the time of a run, for all seeds together. A point covers a sixtieth of
+// the run, rounded down to whole seconds, but at least one second. Dashed lines mark where the faults of the first arm
+// start and end.
 func (r *Result) drawTime(p *plot.Plot, arms []string) error {
 	p.X.Label.Text = "seconds since the first op"
 	if p.Y.Label.Text == "" || p.Y.Label.Text == "service" {
@@ -187,7 +193,7 @@
 	for i, arm := range arms {
 		runs := r.runs[r.armIndex(arm)]
 		if len(runs) == 0 {
-			return fmt.Errorf("arm %s: no stored runs found", arm)
+			return fmt.Errorf("arm %s: expected its runs, found none stored", arm)
 		}
 		var xys plotter.XYs
 		seconds = max(seconds, len(runs[0].Windows))
--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -16,15 +16,15 @@
 // File is an experiment. docs/operators/experiments.md describes each key.
 type File struct {
 	Name     string            `yaml:"name"`
-	About    string            `yaml:"about"`
+	About    string            `yaml:"about"` // text that introduces the tables
 	World    emulator.World    `yaml:"world"`
 	Faults   []emulator.Fault  `yaml:"faults"`
 	ArmsRaw  map[string]RawArm `yaml:"arms"`
-	Seeds    int               `yaml:"seeds"`
-	SeedFrom uint64            `yaml:"seed_from"`
+	Seeds    int               `yaml:"seeds"`     // number of seeds, each of which is run once in each arm
+	SeedFrom uint64            `yaml:"seed_from"` // first seed; the others follow it
 	Expect   []Expectation     `yaml:"expect"`
 	Charts   []Chart           `yaml:"charts"`
-	Base     string            `yaml:"base"` // the arm with which tables compare the others; none if empty
+	Base     string            `yaml:"base"` // the arm for others to be compared with, if not empty; it is only checked to exist
 
 	Arms []Arm // in the order of the file
 }
@@ -37,13 +37,13 @@
 	Faults  yamlfile.Raw `yaml:"faults"`  // replace the file's faults
 	More    yamlfile.Raw `yaml:"more"`    // faults added to the file's
 	Without []string     `yaml:"without"` // kinds of faults that are removed
-	Label   string       `yaml:"label"`
+	Label   string       `yaml:"label"`   // name in tables and charts; that of the arm if empty
 }
 
 // Arm is one of the variants that an experiment compares.
 type Arm struct {
 	Name    string
-	Label   string
+	Label   string // name in tables and charts
 	World   emulator.World
 	Faults  []emulator.Fault
 	Decider emulator.Arm // the policy that decides, and whether gateways gossip
@@ -83,13 +83,13 @@
 	return e.prepare(f)
 }
 
-// Parse reads and validates an experiment from text. The name stands for that of a file in errors.
+// Parse reads and validates an experiment from text. Errors call the text by the given name, as if it were a file.
 func Parse(name string, text []byte) (*File, error) {
 	e := &File{World: emulator.Default(), Seeds: 8, SeedFrom: 1}
 	return e.prepare(yamlfile.Read(name, text, e))
 }
 
-// prepare builds the arms and validates the experiment.
+// prepare builds the arms and validates the experiment, unless the file could not be read without errors.
 func (e *File) prepare(f *yamlfile.File) (*File, error) {
 	if f.Err() == nil {
 		e.buildArms(f)
@@ -117,7 +117,8 @@
 			a.Label = name
 		}
 		if raw.Policy != "" && !slices.Contains(emulator.Policies, raw.Policy) {
-			f.AddProblem(key+".policy", "%q is not a policy; expected one of %s", raw.Policy, strings.Join(emulator.Policies, ", "))
+			f.AddProblem(key+".policy", "%q is not a policy; expected one of %s", raw.Policy,
+				strings.Join(emulator.Policies, ", "))
 		}
 		// Arms do not share slices, because each may change its own.
 		a.World.OpTypes = slices.Clone(e.World.OpTypes)
@@ -131,7 +132,8 @@
 		var more []emulator.Fault
 		raw.More.ReadInto(&more)
 		a.Faults = append(a.Faults, more...)
-		a.Faults = slices.DeleteFunc(a.Faults, func(x emulator.Fault) bool { return slices.Contains(raw.Without, x.Kind) })
+		a.Faults = slices.DeleteFunc(a.Faults,
+			func(fault emulator.Fault) bool { return slices.Contains(raw.Without, fault.Kind) })
 		a.World.Valid(f, key+".world")
 		emulator.ValidFaults(f, key+".faults", a.Faults, &a.World)
 		e.Arms = append(e.Arms, a)
@@ -141,10 +143,10 @@
 // validate checks the values of all keys.
 func (e *File) validate(f *yamlfile.File) {
 	if e.Name == "" || strings.ContainsAny(e.Name, "/\\ ") {
-		f.AddProblem("name", "%q is not a valid name; expected letters, digits and dashes", e.Name)
+		f.AddProblem("name", "%q is not a valid name; it must not be empty or contain slashes, backslashes or spaces", e.Name)
 	}
 	if len(e.Arms) == 0 {
-		f.AddProblem("arms", "no arms found; expected at least one")
+		f.AddProblem("arms", "expected at least one arm, found none")
 	}
 	if e.Seeds < 1 || e.Seeds > 10000 {
 		f.AddProblem("seeds", "%d is out of range; expected 1 to 10000", e.Seeds)
@@ -160,10 +162,10 @@
 	for i, expectation := range e.Expect {
 		key := fmt.Sprintf("expect[%d]", i)
 		if expectation.Name == "" {
-			f.AddProblem(key, "name is missing")
+			f.AddProblem(key, "expected a name, found none")
 		}
 		if expectation.Arm == "" {
-			f.AddProblem(key, "arm is missing")
+			f.AddProblem(key, "expected an arm, found none")
 		}
 		checkArm(key+".arm", expectation.Arm)
 		checkArm(key+".over", expectation.Over)
@@ -190,13 +192,15 @@
 			f.AddProblem(key, "expected at_least or at_most, found neither")
 		}
 		if !e.hasMetric(expectation.Metric) {
-			f.AddProblem(key+".metric", "%q is not a metric; expected one of %s", expectation.Metric, strings.Join(e.Metrics(), ", "))
+			f.AddProblem(key+".metric", "%q is not a metric; expected one of %s", expectation.Metric,
+				strings.Join(e.Metrics(), ", "))
 		}
 	}
 	for i, chart := range e.Charts {
 		key := fmt.Sprintf("charts[%d]", i)
 		if chart.Name == "" || strings.ContainsAny(chart.Name, "/\\ ") {
-			f.AddProblem(key+".name", "%q is not a valid file name; it must not be empty or contain slashes, backslashes or spaces", chart.Name)
+			f.AddProblem(key+".name", "%q is not a valid file name; it must not be empty or contain slashes, backslashes or spaces",
+				chart.Name)
 		}
 		if !slices.Contains([]string{"bars", "time", "line"}, chart.Kind) {
 			f.AddProblem(key+".kind", "%q is not valid; expected bars, time or line", chart.Kind)
--- a/internal/experiment/metric.go
+++ b/internal/experiment/metric.go
@@ -74,7 +74,8 @@
 	return a / b
 }
 
-// computeMetrics returns the metrics of a run's result by name.
+// computeMetrics returns the metrics of a run's result by name. The length of the run is given in seconds. Metrics that
+// have no finite value are 0.
 func computeMetrics(r *emulator.Result, seconds float64) map[string]float64 {
 	metrics := map[string]float64{
 		"service": r.Service(), "worst10": r.WorstService(10), "worst_type": 1, "rules_broken": float64(r.RulesBroken()),
@@ -115,7 +116,7 @@
 	return metrics
 }
 
-// decimals returns the number of decimals with which a metric is printed.
+// decimals returns the number of decimal places with which a metric is printed.
 func decimals(metric string) int {
 	switch name, _, _ := strings.Cut(metric, "."); name {
 	case "rules_broken", "gossip_bytes", "gossip_worst", "gossip_false_deaths", "gossip_deaths", "gossip_rumours",
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -31,24 +31,25 @@
 	return names
 }
 
-// Table returns the result as Markdown: a table of metrics by arm with confidence intervals, the expectations, and rule
-// violations.
+// Table returns the result as Markdown: a table of metrics by arm with confidence intervals, the expectations, and the
+// first violations of rules. It needs the experiment file, which a result from Open does not have.
 func (r *Result) Table() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# %s\n\n", r.Name)
 	if r.source.About != "" {
 		fmt.Fprintf(&b, "%s\n\n", strings.TrimSpace(r.source.About))
 	}
-	w := &r.source.World
+	world := &r.source.World
 	fmt.Fprintf(&b, "Emulated: %d gateways, %d groups of %d servers, %v, seeds %d to %d. Means over the seeds; the interval holds 95 of 100\n"+
-		"such means, by bootstrap.\n\n", w.Gateways.Count, w.Servers.Groups, w.Servers.Members, w.Length, r.Seeds[0], r.Seeds[len(r.Seeds)-1])
+		"such means, by bootstrap.\n\n", world.Gateways.Count, world.Servers.Groups, world.Servers.Members, world.Length, r.Seeds[0],
+		r.Seeds[len(r.Seeds)-1])
 	metrics := r.mainMetrics()
 	fmt.Fprintf(&b, "| arm | %s |\n| --- |%s\n", strings.Join(metrics, " | "), strings.Repeat(" --- |", len(metrics)))
 	for _, arm := range r.Order {
 		fmt.Fprintf(&b, "| %s |", r.source.Arm(arm).Label)
 		for _, m := range metrics {
-			if f, ok := r.Arms[arm][m]; ok {
-				fmt.Fprintf(&b, " %s |", f.format(decimals(m)))
+			if estimate, ok := r.Arms[arm][m]; ok {
+				fmt.Fprintf(&b, " %s |", estimate.format(decimals(m)))
 			} else {
 				b.WriteString(" - |")
 			}
@@ -75,11 +76,11 @@
 }
 
 // format returns the mean with its confidence interval as text.
-func (f Estimate) format(decimals int) string {
-	if f.Low == f.High {
-		return fmt.Sprintf("%.*f", decimals, f.Mean)
+func (e Estimate) format(decimals int) string {
+	if e.Low == e.High {
+		return fmt.Sprintf("%.*f", decimals, e.Mean)
 	}
-	return fmt.Sprintf("%.*f (%.*f to %.*f)", decimals, f.Mean, decimals, f.Low, decimals, f.High)
+	return fmt.Sprintf("%.*f (%.*f to %.*f)", decimals, e.Mean, decimals, e.Low, decimals, e.High)
 }
 
 // writeFiles writes the result to a folder as JSON, table and charts.
@@ -107,7 +108,7 @@
 	return b.String()
 }
 
-// Open reads a stored result and its runs from a folder.
+// Open reads a stored result from a folder, with the runs of each arm whose runs are all stored.
 func Open(dir string) (*Result, error) {
 	text, err := os.ReadFile(filepath.Join(dir, "result.json"))
 	if err != nil {
@@ -125,7 +126,7 @@
 			if err == nil {
 				err = json.Unmarshal(text, run)
 			}
-			if err != nil { // results may be stored without their many runs
+			if err != nil { // a result may be stored without its runs, which are many
 				runs = nil
 				break
 			}
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -29,9 +29,9 @@
 type Run struct {
 	Arm     string             `json:"arm"`
 	Seed    uint64             `json:"seed"`
-	Key     string             `json:"key"` // hash of everything that determines the run
-	Metrics map[string]float64 `json:"metrics"`
-	Windows []emulator.Window  `json:"windows"`
+	Key     string             `json:"key"`     // hash of everything that determines the run
+	Metrics map[string]float64 `json:"metrics"` // by name
+	Windows []emulator.Window  `json:"windows"` // one per second
 	Events  []emulator.Event   `json:"events,omitempty"`
 	Stories []emulator.Story   `json:"stories,omitempty"`
 }
@@ -40,10 +40,10 @@
 type Result struct {
 	Name    string                         `json:"experiment"`
 	Seeds   []uint64                       `json:"seeds"`
-	Arms    map[string]map[string]Estimate `json:"arms"`
+	Arms    map[string]map[string]Estimate `json:"arms"` // by arm and metric
 	Expect  []Outcome                      `json:"expect"`
-	Order   []string                       `json:"order"` // names of the arms in the order of the file
-	Stories []emulator.Story               `json:"stories,omitempty"`
+	Order   []string                       `json:"order"`             // names of the arms in the order of the file
+	Stories []emulator.Story               `json:"stories,omitempty"` // the first violations of rules in all runs
 
 	source *File    // nil if the result was read from a folder
 	runs   [][]*Run // by arm and seed
@@ -53,9 +53,9 @@
 type Outcome struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
-	Low   float64 `json:"low"`
-	High  float64 `json:"high"`
-	Bound string  `json:"bound"`
+	Low   float64 `json:"low"`   // lower end of the confidence interval; Value if it is the least or most of the seeds
+	High  float64 `json:"high"`  // upper end of it, likewise
+	Bound string  `json:"bound"` // the expected bounds as text
 	Holds bool    `json:"holds"`
 }
 
@@ -99,7 +99,8 @@
 	group.SetLimit(workers)
 	var mu sync.Mutex
 	done := 0
-	// Seed by seed, so that the arms can be compared after an interruption.
+	// The runs of all arms with one seed come before those with the next one, so that the arms can be compared after an
+	// interruption.
 	for s, seed := range result.Seeds {
 		for a := range e.Arms {
 			if groupCtx.Err() != nil {
@@ -144,7 +145,7 @@
 		Seed    uint64
 	}{emulator.ModelVersion, a.World, a.Faults, a.Decider, seed})
 	if err != nil {
-		panic(err) // all types in it can be encoded
+		panic(err) // cannot happen: all of its types can be encoded
 	}
 	return fmt.Sprintf("%016x", xxhash.Sum64(text))
 }
@@ -183,7 +184,8 @@
 	return os.Rename(path+".next", path)
 }
 
-// summarize computes the estimates and the outcomes of the expectations from all runs.
+// summarize computes the estimates and the outcomes of the expectations from all runs, and collects the first
+// violations.
 func (r *Result) summarize() {
 	for a, name := range r.Order {
 		r.Arms[name] = map[string]Estimate{}
@@ -206,7 +208,7 @@
 	}
 }
 
-// values returns a metric of an arm by seed, and whether any run has it.
+// values returns a metric of an arm by seed, and whether any run has it. It is 0 for runs that do not have it.
 func (r *Result) values(arm int, metric string) (values []float64, ok bool) {
 	for _, run := range r.runs[arm] {
 		v, has := run.Metrics[metric]
--- a/internal/loopback/check.go
+++ b/internal/loopback/check.go
@@ -16,16 +16,16 @@
 	start time.Time
 
 	mu            sync.Mutex
-	effects       map[uint64]int        // how often each op took effect
-	drainListedAt map[*server]time.Time // when the server was listed as draining or gone
+	effects       map[uint64]int        // how often each op took effect, by the number of the op
+	drainKnownAt  map[*server]time.Time // when each gateway must know that the server drains or is gone
 	violations    [5]int64              // by rule
 	stories       []string              // descriptions of the first violations
 	events        []Event
-	sends         int64
-	readPositions map[*job]int64 // position of the server when work on the job began
-	listDelay     time.Duration  // time from a change of the list until it counts as known; 0 until watches fall silent
+	sends         int64          // that have arrived at servers in full
+	readPositions map[*job]int64 // position in the log of the server when work on the job began
+	listDelay     time.Duration  // from a change of the list until each gateway must know it; 0 until watches fall silent
 
-	startupTimes []time.Duration // of gateways that were started again
+	startupTimes []time.Duration // from the start until ops are accepted, of gateways that were started again
 }
 
 // Event is something that happened during a run, such as the start of a fault.
@@ -34,10 +34,10 @@
 	What string
 }
 
-const maxStories = 12 // violations that are described in full; all are counted
+const maxStories = 12 // number of violations that are described; all are counted
 
-func newChecker(w *emulator.World) *checker {
-	return &checker{world: w, start: time.Now(), effects: map[uint64]int{}, drainListedAt: map[*server]time.Time{},
+func newChecker(world *emulator.World) *checker {
+	return &checker{world: world, start: time.Now(), effects: map[uint64]int{}, drainKnownAt: map[*server]time.Time{},
 		readPositions: map[*job]int64{}}
 }
 
@@ -48,7 +48,7 @@
 	c.events = append(c.events, Event{time.Since(c.start), fmt.Sprintf(format, args...)})
 }
 
-// violation counts a violation of a rule and records its description. The caller holds the lock.
+// violation counts a violation of a rule and records the descriptions of the first ones. The caller holds the lock.
 func (c *checker) violation(rule int, format string, args ...any) {
 	c.violations[rule-1]++
 	if len(c.stories) < maxStories {
@@ -62,13 +62,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sends++
-	if at, ok := c.drainListedAt[s]; ok && time.Since(at) > c.world.Rules.Grace+c.world.Rules.Slack {
+	if at, ok := c.drainKnownAt[s]; ok && time.Since(at) > c.world.Rules.Grace+c.world.Rules.Slack {
 		c.violation(3, "op %s came to server %d, %v after it was told that this drains", j.id, s.num,
 			time.Since(at).Round(time.Millisecond))
 	}
 }
 
-// workStarted records the position of the server when work on the job starts.
+// workStarted records the position in the log that the server has when work on the job starts.
 func (c *checker) workStarted(s *server, j *job, position int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,12 +88,13 @@
 func (c *checker) answerReady(s *server, j *job, a answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	at, worked := c.readPositions[j]
+	position, worked := c.readPositions[j]
 	delete(c.readPositions, j)
-	if a.code == "" && !a.reset && worked && !j.write && j.minPosition > 0 && at < j.minPosition && c.world.Reports.Checks == "none" {
+	if a.code == "" && !a.reset && worked && !j.write && j.minPosition > 0 && position < j.minPosition &&
+		c.world.Reports.Checks == "none" {
 		// An answer after the op timeout of this send does not count, because its client has left.
 		if time.Since(j.sentAt) < j.opType.Timeout {
-			c.violation(5, "op %s was read by server %d from data %d ms too old", j.id, s.num, j.minPosition-at)
+			c.violation(5, "op %s was read by server %d from data %d ms too old", j.id, s.num, j.minPosition-position)
 		}
 	}
 }
@@ -103,9 +104,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == "in_service" {
-		delete(c.drainListedAt, s)
+		delete(c.drainKnownAt, s)
 	} else {
-		c.drainListedAt[s] = time.Now().Add(c.listDelay)
+		c.drainKnownAt[s] = time.Now().Add(c.listDelay)
 	}
 }
 
@@ -114,14 +115,14 @@
 const maxPropagationDelay = 6 * time.Second
 
 // watchesSilenced records that all open watches have fallen silent. Each gateway opens a new one at a time of its own,
-// so a later change counts as known only after maxPropagationDelay.
+// so a later change has to be known only after maxPropagationDelay.
 func (c *checker) watchesSilenced() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listDelay = maxPropagationDelay
 }
 
-// gatewayReady records how long a gateway that was started again took until it was ready.
+// gatewayReady records how long a gateway that was started again took until it accepted ops.
 func (c *checker) gatewayReady(took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -45,49 +45,49 @@
 	idleConns  map[int][]*conn // by gateway
 	lastWrites map[int]int64   // time of the last acked write by session, Unix milliseconds
 	result     *Result
-	slots      chan struct{} // limits the number of ops in progress
+	slots      chan struct{} // holds an element for each op in progress
 }
 
 // Result is the result of a run on sockets.
 type Result struct {
-	Asked        float64 // number of ops sent by clients
+	Asked        float64 // number of ops sent by clients, retries not counted
 	Value        float64 // total value of those ops
 	Earned       float64 // value of the acks, reduced for late ones
 	Types        []TypeResult
 	Windows      []emulator.Window // one per second
-	Busy         int64
-	Errored      int64
-	Retries      int64
-	Lost         int64    // attempts whose connection ended without an answer
-	Mismatched   int64    // answers to another op than the one sent
-	TimedOut     int64    // attempts whose client left because its time was up
-	CloseRaces   int64    // attempts repeated because the gateway closed the idle connection at the same moment
-	Broken       [5]int64 // violations by rule
-	Stories      []string // descriptions of the first violations
+	Busy         int64             // busy replies to clients
+	Errored      int64             // errors to clients
+	Retries      int64             // by clients
+	Lost         int64             // attempts whose connection ended without an answer
+	Mismatched   int64             // answers to another op than the one sent
+	TimedOut     int64             // attempts whose client left because its time was up
+	CloseRaces   int64             // attempts repeated at once because a reused connection ended before any answer
+	Broken       [5]int64          // violations by rule
+	Stories      []string          // descriptions of the first violations
 	Events       []Event
 	Lateness     *hdrhistogram.Histogram // delay of sending after the intended time, in microseconds
 	Unsent       int64                   // ops that were not sent because maxOpenOps ops were in progress
-	Sends        int64
-	CounterLogs  []string        // by gateway, the log lines that hold its counters
-	ByGateway    []GatewayResult // by gateway
-	StartupTimes []time.Duration // startup times of gateways that were started again
+	Sends        int64                   // that arrived at servers in full
+	CounterLogs  []string                // by gateway, the log lines that hold its counters
+	ByGateway    []GatewayResult         // by gateway
+	StartupTimes []time.Duration         // times until gateways that were started again accepted ops
 }
 
 // GatewayResult is the result of the ops of the clients of one gateway.
 type GatewayResult struct {
-	Value  float64
-	Earned float64
+	Value  float64 // total value of the ops
+	Earned float64 // value of the acks, reduced for late ones
 }
 
 // TypeResult is the result of one op type.
 type TypeResult struct {
 	Name    string
-	Asked   int64
-	Acked   int64 // within the latency target
-	Late    int64 // acked after the latency target
-	Failed  int64
-	Value   float64
-	Earned  float64
+	Asked   int64                   // number of ops sent, retries not counted
+	Acked   int64                   // within the latency target
+	Late    int64                   // acked after the latency target
+	Failed  int64                   // ops that were not acked
+	Value   float64                 // total value of the ops
+	Earned  float64                 // value of the acks, reduced for late ones
 	Latency *hdrhistogram.Histogram // from the intended time of the first attempt, in microseconds
 }
 
@@ -107,26 +107,26 @@
 	return sum
 }
 
-const maxOpenOps = 20000 // ops in progress at a time
+const maxOpenOps = 20000 // greatest number of ops in progress; further ones are not sent
 
 // planOps draws all ops of a run.
-func planOps(w *emulator.World, seed uint64) []plannedOp {
+func planOps(world *emulator.World, seed uint64) []plannedOp {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	cumulativeShares, sum := []float64{}, 0.0
 	work := 0.0
-	for _, t := range w.OpTypes {
+	for _, t := range world.OpTypes {
 		sum += t.Share
 		cumulativeShares = append(cumulativeShares, sum)
 		work += t.Share * t.Work.Seconds()
 	}
-	rate := w.Load.PerSecond
+	rate := world.Load.PerSecond
 	if rate == 0 {
 		capacity := 0.0
-		for g := range w.Servers.Groups {
-			k := w.Servers.Kinds[g%len(w.Servers.Kinds)]
-			capacity += float64(k.Cores) * k.Speed * float64(w.Servers.Members)
+		for g := range world.Servers.Groups {
+			kind := world.Servers.Kinds[g%len(world.Servers.Kinds)]
+			capacity += float64(kind.Cores) * kind.Speed * float64(world.Servers.Members)
 		}
-		rate = w.Load.Use * capacity / (work / sum)
+		rate = world.Load.Use * capacity / (work / sum)
 	}
 	pick := func(cumulative []float64) int {
 		i, _ := slices.BinarySearch(cumulative, rng.Float64()*cumulative[len(cumulative)-1])
@@ -137,21 +137,22 @@
 		homeGateway int
 		arrival     time.Duration
 	}
-	recentWrites := make([][]write, w.Servers.Groups)
+	recentWrites := make([][]write, world.Servers.Groups)
 	var plan []plannedOp
 	for arrival := time.Duration(0); ; {
 		arrival += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if arrival >= w.Length {
+		if arrival >= world.Length {
 			return plan
 		}
-		t := &w.OpTypes[pick(cumulativeShares)]
-		p := plannedOp{arrival: arrival, id: uint64(len(plan) + 1), opType: t, group: rng.IntN(w.Servers.Groups)}
-		p.session = rng.IntN(max(1, w.Clients.Sessions)*w.Gateways.Count) + 1
-		p.homeGateway = p.session % w.Gateways.Count
-		if t.Need == "session" && rng.Float64() < w.Clients.Follows && len(recentWrites[p.group]) > 0 {
-			wantedGap := time.Duration(rng.ExpFloat64() * float64(w.Clients.Gap))
+		t := &world.OpTypes[pick(cumulativeShares)]
+		p := plannedOp{arrival: arrival, id: uint64(len(plan) + 1), opType: t, group: rng.IntN(world.Servers.Groups)}
+		p.session = rng.IntN(max(1, world.Clients.Sessions)*world.Gateways.Count) + 1
+		p.homeGateway = p.session % world.Gateways.Count
+		if t.Need == "session" && rng.Float64() < world.Clients.Follows && len(recentWrites[p.group]) > 0 {
+			wantedGap := time.Duration(rng.ExpFloat64() * float64(world.Clients.Gap))
 			closest := slices.MinFunc(recentWrites[p.group], func(a, b write) int {
-				return cmp.Compare(math.Abs(float64(arrival-a.arrival-wantedGap)), math.Abs(float64(arrival-b.arrival-wantedGap)))
+				return cmp.Compare(math.Abs(float64(arrival-a.arrival-wantedGap)),
+					math.Abs(float64(arrival-b.arrival-wantedGap)))
 			})
 			p.session, p.homeGateway = closest.session, closest.homeGateway
 		}
@@ -161,23 +162,24 @@
 				recentWrites[p.group] = recentWrites[p.group][n-16:]
 			}
 		}
-		if rng.Float64() < w.Clients.Roam {
-			p.homeGateway = rng.IntN(w.Gateways.Count)
+		if rng.Float64() < world.Clients.Roam {
+			p.homeGateway = rng.IntN(world.Gateways.Count)
 		}
-		p.patience = w.Clients.Patience + (1-w.Clients.Patience)*math.Sqrt(rng.Float64())
-		p.honoursRetryAfter = rng.Float64() < w.Clients.Honour
+		p.patience = world.Clients.Patience + (1-world.Clients.Patience)*math.Sqrt(rng.Float64())
+		p.honoursRetryAfter = rng.Float64() < world.Clients.Honour
 		plan = append(plan, p)
 	}
 }
 
 // newClients returns clients with the ops drawn from the seed.
-func newClients(w *emulator.World, seed uint64, gateways []string, pickGateway func(int) int,
+func newClients(world *emulator.World, seed uint64, gateways []string, pickGateway func(int) int,
 	marksRetries func(int) bool) *clients {
-	c := &clients{world: w, gateways: gateways, pickGateway: pickGateway, marksRetries: marksRetries,
-		plan: planOps(w, seed), idleConns: map[int][]*conn{}, lastWrites: map[int]int64{}, slots: make(chan struct{}, maxOpenOps)}
-	c.result = &Result{Lateness: hdrhistogram.New(1, 60e6, 2), Windows: make([]emulator.Window, int(w.Length/time.Second)+1),
-		ByGateway: make([]GatewayResult, len(gateways))}
-	for _, t := range w.OpTypes {
+	c := &clients{world: world, gateways: gateways, pickGateway: pickGateway, marksRetries: marksRetries,
+		plan: planOps(world, seed), idleConns: map[int][]*conn{}, lastWrites: map[int]int64{},
+		slots: make(chan struct{}, maxOpenOps)}
+	c.result = &Result{Lateness: hdrhistogram.New(1, 60e6, 2),
+		Windows: make([]emulator.Window, int(world.Length/time.Second)+1), ByGateway: make([]GatewayResult, len(gateways))}
+	for _, t := range world.OpTypes {
 		c.result.Types = append(c.result.Types, TypeResult{Name: t.Name, Latency: hdrhistogram.New(1, 120e6, 2)})
 	}
 	return c
@@ -208,8 +210,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, list := range c.idleConns {
-		for _, k := range list {
-			k.Close()
+		for _, conn := range list {
+			conn.Close()
 		}
 	}
 	for i := range c.result.Types {
@@ -269,7 +271,7 @@
 	}
 }
 
-// typeResult returns the result and the index of an op's type.
+// typeResult returns the result of an op's type, and its index.
 func (c *clients) typeResult(p *plannedOp) (*TypeResult, int) {
 	for i := range c.world.OpTypes {
 		if &c.world.OpTypes[i] == p.opType {
@@ -291,7 +293,7 @@
 	sent := time.Now()
 	deadline := sent.Add(time.Duration(p.patience * float64(p.opType.Timeout)))
 	repeatable := p.opType.Effect == "retryable" || p.opType.Effect == "tokened" && p.opType.Scope == "all"
-	k, err := c.getConn(c.pickGateway(p.homeGateway))
+	conn, err := c.getConn(c.pickGateway(p.homeGateway))
 	if err != nil {
 		return attemptOutcome{retrySafe: true} // the op has not been sent
 	}
@@ -314,12 +316,12 @@
 	if p.opType.Need == "write" {
 		query = fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('s%d', 'x') RETURNING data /* %s */", p.session, fields)
 	}
-	k.SetDeadline(deadline)
-	a, err := k.query(query)
-	if err != nil && k.reused && k.unanswered && time.Now().Before(deadline) {
-		// The gateway may have closed the connection, idle until now, before it read the query. So the query is sent once
-		// more on a new connection.
-		k.Close()
+	conn.SetDeadline(deadline)
+	a, err := conn.query(query)
+	if err != nil && conn.reused && conn.unanswered && time.Now().Before(deadline) {
+		// The gateway may have closed the connection, idle until now, before it read the query. The query is therefore
+		// sent once more on a new connection.
+		conn.Close()
 		c.mu.Lock()
 		c.result.CloseRaces++
 		c.mu.Unlock()
@@ -327,24 +329,25 @@
 		if dialErr != nil {
 			return attemptOutcome{retrySafe: true}
 		}
-		k = fresh
-		k.SetDeadline(deadline)
-		a, err = k.query(query)
+		conn = fresh
+		conn.SetDeadline(deadline)
+		a, err = conn.query(query)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		k.Close()
+		conn.Close()
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			// The client leaves. A running gateway has to answer by then, except for the time that the network takes.
+			// The client closes the connection. A running gateway has to answer by the deadline, but the network may delay
+			// its answer beyond it.
 			c.result.TimedOut++
 			return attemptOutcome{retrySafe: repeatable}
 		}
 		c.result.Lost++
 		return attemptOutcome{retrySafe: repeatable}
 	}
-	c.idleConns[k.gateway] = append(c.idleConns[k.gateway], k)
+	c.idleConns[conn.gateway] = append(c.idleConns[conn.gateway], conn)
 	switch {
 	case a.code == "":
 		if !strings.HasPrefix(a.value, id+" by ") {
@@ -378,13 +381,13 @@
 func (c *clients) getConn(gateway int) (*conn, error) {
 	c.mu.Lock()
 	if list := c.idleConns[gateway]; len(list) > 0 {
-		k := list[len(list)-1]
+		conn := list[len(list)-1]
 		c.idleConns[gateway] = list[:len(list)-1]
 		c.mu.Unlock()
-		if k.reused = true; !k.isClosed() {
-			return k, nil
+		if conn.reused = true; !conn.isClosed() {
+			return conn, nil
 		}
-		k.Close()
+		conn.Close()
 	} else {
 		c.mu.Unlock()
 	}
@@ -393,28 +396,29 @@
 
 // dial opens a connection to a gateway.
 func (c *clients) dial(gateway int) (*conn, error) {
-	nc, err := net.DialTimeout("tcp", c.gateways[gateway], time.Second)
+	netConn, err := net.DialTimeout("tcp", c.gateways[gateway], time.Second)
 	if err != nil {
 		return nil, err
 	}
-	k := &conn{Conn: nc, gateway: gateway}
-	k.SetDeadline(time.Now().Add(2 * time.Second))
-	if _, err := k.Write(pgwire.AppendStartup(nil, "portal", "crm")); err != nil {
-		k.Close()
+	conn := &conn{Conn: netConn, gateway: gateway}
+	conn.SetDeadline(time.Now().Add(2 * time.Second))
+	if _, err := conn.Write(pgwire.AppendStartup(nil, "portal", "crm")); err != nil {
+		conn.Close()
 		return nil, err
 	}
-	if a, err := k.readResponse(); err != nil || a.code != "" {
-		k.Close()
-		return nil, fmt.Errorf("gateway refused the connection: SQLSTATE %q: %w", a.code, err)
+	if a, err := conn.readResponse(); err != nil || a.code != "" {
+		conn.Close()
+		return nil, fmt.Errorf("startup failed at the gateway: expected no error, found SQLSTATE %q, error %w", a.code,
+			err)
 	}
-	return k, nil
+	return conn, nil
 }
 
 // isClosed reports whether the gateway has closed an idle connection. An unexpected message counts as closed too.
-func (k *conn) isClosed() bool {
-	k.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
-	n, err := k.Read(k.buffer.Space())
-	k.buffer.Filled(n)
+func (c *conn) isClosed() bool {
+	c.SetReadDeadline(time.Now().Add(50 * time.Microsecond))
+	n, err := c.Read(c.buffer.Space())
+	c.buffer.Filled(n)
 	var timeout net.Error
 	return n > 0 || !(errors.As(err, &timeout) && timeout.Timeout())
 }
@@ -427,28 +431,28 @@
 }
 
 // query sends a query and waits for its answer.
-func (k *conn) query(query string) (response, error) {
-	k.unanswered = true
-	if _, err := k.Write(pgwire.AppendQuery(nil, query)); err != nil {
+func (c *conn) query(query string) (response, error) {
+	c.unanswered = true
+	if _, err := c.Write(pgwire.AppendQuery(nil, query)); err != nil {
 		return response{}, err
 	}
-	return k.readResponse()
+	return c.readResponse()
 }
 
 // readResponse reads the messages of one answer, up to and including ReadyForQuery.
-func (k *conn) readResponse() (a response, err error) {
+func (c *conn) readResponse() (a response, err error) {
 	for {
-		m, ok, err := k.buffer.Next()
+		m, ok, err := c.buffer.Next()
 		if err != nil {
 			return a, err
 		}
 		if !ok {
-			n, err := k.Read(k.buffer.Space())
-			k.buffer.Filled(n)
+			n, err := c.Read(c.buffer.Space())
+			c.buffer.Filled(n)
 			if n == 0 && err != nil {
 				return a, err
 			}
-			k.unanswered = false
+			c.unanswered = false
 			continue
 		}
 		switch m.Type {
--- a/internal/loopback/discovery.go
+++ b/internal/loopback/discovery.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// discovery is a stand-in discovery service.
+// discovery is a stand-in for the discovery service.
 type discovery struct {
 	fleet      *fleet
 	listener   net.Listener
@@ -34,11 +34,11 @@
 	State     string  `json:"state"`
 	Role      string  `json:"role,omitempty"`
 	Weight    float64 `json:"weight"`
-	Started   int64   `json:"started_ms"`
+	Started   int64   `json:"started_ms"` // Unix milliseconds
 	serverNum int
 }
 
-// change records that the entry of a server changed with a version of the list.
+// change records the version of the list in which the entry of a server changed.
 type change struct {
 	version   int
 	serverNum int
@@ -55,15 +55,16 @@
 	return &discovery{fleet: f, version: 1, updated: make(chan struct{}), silenced: make(chan struct{})}
 }
 
-// init adds all servers to the list in their current state. It must be called before listen.
+// init adds all servers to the list with the state in_service and prepares the HTTP server. It must be called before
+// listen.
 func (d *discovery) init() {
 	for _, s := range d.fleet.servers {
 		role := "replica"
 		if s.group.primary == s {
 			role = "primary"
 		}
-		e := entry{ID: fmt.Sprintf("s-%08x", s.num), Addr: s.addr, Zone: fmt.Sprint("z", s.zone), Kind: "plain", Cell: s.groupIndex(), State: "in_service",
-			Weight: float64(s.cores), serverNum: s.num}
+		e := entry{ID: fmt.Sprintf("s-%08x", s.num), Addr: s.addr, Zone: fmt.Sprint("z", s.zone), Kind: "plain",
+			Cell: s.groupIndex(), State: "in_service", Weight: float64(s.cores), serverNum: s.num}
 		if d.fleet.world.List.Roles != "none" {
 			e.Role = role
 		}
@@ -72,7 +73,7 @@
 	d.httpServer = &http.Server{Handler: http.HandlerFunc(d.handle)}
 }
 
-// groupIndex returns the index of the server's group.
+// groupIndex returns the index of the server's group, or -1 if the fleet does not have it.
 func (s *server) groupIndex() int {
 	for i, g := range s.fleet.groups {
 		if g == s.group {
@@ -99,8 +100,8 @@
 	}
 }
 
-// publishAfter lists the state of a server after a delay, unless the server has stopped or started to drain in the
-// meantime.
+// publishAfter lists the state of a server after a delay, unless the server's process has ended or has started to drain
+// in the meantime.
 func (d *discovery) publishAfter(s *server, delay time.Duration) {
 	generation, draining := s.generation, s.draining
 	time.AfterFunc(delay, func() {
@@ -123,8 +124,8 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		for i := range d.entries {
-			if l := &d.entries[i]; l.serverNum == s.num {
-				l.State, l.Started, l.Addr = state, started, s.addr
+			if e := &d.entries[i]; e.serverNum == s.num {
+				e.State, e.Started, e.Addr = state, started, s.addr
 			}
 		}
 		d.version++
@@ -166,8 +167,8 @@
 func (d *discovery) handle(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	since, _ := strconv.Atoi(query.Get("since"))
-	wait, _ := strconv.Atoi(query.Get("timeout_ms"))
-	timeout := time.After(time.Duration(min(wait, 60000)) * time.Millisecond)
+	timeoutMs, _ := strconv.Atoi(query.Get("timeout_ms"))
+	timeout := time.After(time.Duration(min(timeoutMs, 60000)) * time.Millisecond)
 	d.mu.Lock()
 	silenced := d.silenced
 	d.mu.Unlock()
@@ -176,7 +177,7 @@
 		updated := d.updated
 		d.mu.Unlock()
 		list := d.listSince(since)
-		if since == 0 || len(list.Servers) > 0 || wait == 0 {
+		if since == 0 || len(list.Servers) > 0 || timeoutMs == 0 {
 			json.NewEncoder(w).Encode(list)
 			return
 		}
@@ -186,7 +187,7 @@
 			return
 		case <-updated:
 		case <-timeout:
-			wait = 0
+			timeoutMs = 0
 		case <-r.Context().Done():
 			return
 		}
--- a/internal/loopback/endings_test.go
+++ b/internal/loopback/endings_test.go
@@ -48,7 +48,8 @@
 			faults: []emulator.Fault{{Kind: "gateway_crash", At: time.Second, Share: 0.7, Back: 200 * time.Millisecond}},
 			check: func(t *testing.T, res *Result) {
 				if len(res.StartupTimes) != 7 || res.Lost+res.CloseRaces == 0 {
-					t.Errorf("gateways restarted: got %d, want 7; attempts cut off: got %d, want more than 0", len(res.StartupTimes), res.Lost+res.CloseRaces)
+					t.Errorf("gateways restarted: got %d, want 7; attempts cut off: got %d, want more than 0",
+						len(res.StartupTimes), res.Lost+res.CloseRaces)
 				}
 			},
 		},
@@ -65,7 +66,7 @@
 				if len(res.StartupTimes) != 7 || res.Lost != 0 {
 					t.Errorf("gateways restarted: got %d, want 7; attempts cut off: got %d, want 0", len(res.StartupTimes), res.Lost)
 				}
-				stopped, lostClients := 0, int64(0)
+				stopped, leftClients := 0, int64(0)
 				for _, log := range res.CounterLogs {
 					runs := strings.Split(strings.TrimSpace(log), "\n")
 					stopped += len(runs)
@@ -73,14 +74,15 @@
 						var n int64
 						_, rest, _ := strings.Cut(run, " left=")
 						fmt.Sscan(rest, &n)
-						lostClients += n
+						leftClients += n
 						if !strings.Contains(run, " held=0 ") || !strings.Contains(run, "assertions_broken=0") {
 							t.Error(run)
 						}
 					}
 				}
-				if stopped != 17 || lostClients > res.TimedOut {
-					t.Errorf("processes that logged their stop: got %d, want 17; clients that left: got %d, want at most the %d that timed out", stopped, lostClients, res.TimedOut)
+				if stopped != 17 || leftClients > res.TimedOut {
+					t.Errorf("processes that logged their stop: got %d, want 17; clients that left: got %d, want at most the %d that timed out",
+						stopped, leftClients, res.TimedOut)
 				}
 			},
 		},
@@ -118,7 +120,8 @@
 			if test.check != nil {
 				test.check(t, res)
 			}
-			t.Logf("service %.2f, %d sends, %d attempts cut off, startup times %v", res.Service(), res.Sends, res.Lost, res.StartupTimes)
+			t.Logf("service %.2f, %d sends, %d attempts cut off, startup times %v", res.Service(), res.Sends, res.Lost,
+				res.StartupTimes)
 		})
 	}
 }
--- a/internal/loopback/fleet.go
+++ b/internal/loopback/fleet.go
@@ -43,9 +43,9 @@
 
 // token is a group's record of a tokened op.
 type token struct {
-	lastSeen  time.Time
+	lastSeen  time.Time // when the last job with this token was accepted
 	committed bool
-	position  int64 // of the commit
+	position  int64 // of the commit in the log
 	pending   int   // jobs with this token that are queued or running
 }
 
@@ -54,9 +54,9 @@
 	fleet *fleet
 	num   int // from 1
 	group *group
-	zone  int
+	zone  int // from 0
 	addr  string
-	speed float64
+	speed float64 // of a core, relative to a core of speed 1
 	cores int
 
 	listener      net.Listener // nil while it is down
@@ -67,15 +67,15 @@
 	hung          bool
 	refusing      bool    // it answers every op with SQLSTATE 53300
 	slowdown      float64 // factor on all work; 1 without a fault
-	errorShare    float64 // fraction of ops that fail after their work
+	errorShare    float64 // fraction of ops that fail after their work; writes take effect all the same
 	applySlowdown float64 // factor on the time that the log takes to apply; 1 without a fault
 
 	busy      int // cores in use
 	queue     []*job
-	suspended []func() // what to do once the server no longer hangs
+	suspended []func() // work to resume once the server no longer hangs
 	backlog   []int64  // positions of commits that have arrived but are not applied
-	applied   int64    // position of the last applied commit
-	applying  bool
+	applied   int64    // position in the log up to which commits are applied, Unix milliseconds
+	applying  bool     // the first commit of the backlog is being applied
 }
 
 // job is one query at a server.
@@ -87,10 +87,10 @@
 	attempt     int    // number of the client's attempt
 	opType      *emulator.OpType
 	write       bool
-	minPosition int64 // position that a read must see, Unix milliseconds; 0 if any
+	minPosition int64 // position in the log that a read must see, Unix milliseconds; 0 if any
 	token       *token
 	tokenKey    string
-	sentAt      time.Time
+	sentAt      time.Time // when the query arrived
 	done        chan answer
 }
 
@@ -99,20 +99,20 @@
 	code     string // SQLSTATE; empty for a value
 	value    string
 	role     string
-	position int64 // of the server, or of the commit for a write with a token
+	position int64 // in the log: of the server, or of the commit for a write with a token
 	reset    bool  // the connection ends without an answer
 }
 
 // newFleet starts all servers and fills the list.
-func newFleet(w *emulator.World, seed uint64, checker *checker) (*fleet, error) {
-	f := &fleet{world: w, seed: seed, checker: checker}
+func newFleet(world *emulator.World, seed uint64, checker *checker) (*fleet, error) {
+	f := &fleet{world: world, seed: seed, checker: checker}
 	f.discovery = newDiscovery(f)
-	for i := range w.Servers.Groups {
+	for i := range world.Servers.Groups {
 		g := &group{fleet: f, tokens: map[string]*token{}}
 		f.groups = append(f.groups, g)
-		for j := range w.Servers.Members {
-			kind := w.Servers.Kinds[i%len(w.Servers.Kinds)]
-			s := &server{fleet: f, num: len(f.servers) + 1, group: g, zone: (i + j) % w.Zones, cores: kind.Cores,
+		for j := range world.Servers.Members {
+			kind := world.Servers.Kinds[i%len(world.Servers.Kinds)]
+			s := &server{fleet: f, num: len(f.servers) + 1, group: g, zone: (i + j) % world.Zones, cores: kind.Cores,
 				speed: kind.Speed, slowdown: 1, applySlowdown: 1,
 				conns: map[net.Conn]struct{}{}, applied: time.Now().UnixMilli()}
 			f.servers = append(f.servers, s)
@@ -158,7 +158,8 @@
 				return
 			}
 			s.fleet.mu.Lock()
-			accepted := s.generation == generation && !s.fleet.closed && (s.fleet.world.Servers.Conns == 0 || len(s.conns) < s.fleet.world.Servers.Conns)
+			accepted := s.generation == generation && !s.fleet.closed &&
+				(s.fleet.world.Servers.Conns == 0 || len(s.conns) < s.fleet.world.Servers.Conns)
 			if accepted {
 				s.conns[conn] = struct{}{}
 			}
@@ -179,7 +180,8 @@
 	return nil
 }
 
-// shutDown simulates the end of the process: connections are reset and new ones refused. The caller holds the lock.
+// shutDown simulates the end of the process: connections are reset, new ones refused and all work is discarded. The
+// caller holds the lock.
 func (s *server) shutDown() {
 	if s.listener == nil {
 		return
@@ -276,7 +278,7 @@
 	return pgwire.AppendReady(b)
 }
 
-// parseComment returns the fields in the comment of a statement, or nil if it has no comment.
+// parseComment returns the fields in the comment of a statement by name, or nil if the statement has no comment.
 func parseComment(text string) map[string]string {
 	_, rest, ok := strings.Cut(text, "/*")
 	body, _, ok2 := strings.Cut(rest, "*/")
@@ -363,7 +365,8 @@
 // currentSpeed returns the speed at which the server works now, as in the emulator. The caller holds the lock.
 func (s *server) currentSpeed() float64 { return s.speed * s.warmUpFactor() / s.slowdown }
 
-// position returns the position in the log that the server's data have reached. The caller holds the lock.
+// position returns the position in the log that the server's data have reached, in Unix milliseconds. The caller holds
+// the lock.
 func (s *server) position() int64 {
 	now := time.Now().UnixMilli()
 	shipTime := s.fleet.world.Log.Ship.Milliseconds()
@@ -413,7 +416,7 @@
 	t.lastSeen = time.Now()
 	t.pending++
 	j.token = t
-	if len(g.tokens) > 4096 {
+	if len(g.tokens) > 4096 { // removes expired tokens, to bound the memory
 		for key, old := range g.tokens {
 			if old.pending == 0 && time.Since(old.lastSeen) > 2*j.opType.Window {
 				delete(g.tokens, key)
@@ -521,7 +524,8 @@
 	s.applying = true
 	generation, position := s.generation, s.backlog[0]
 	uniform := emulator.Uniform(s.fleet.seed, 0x10f, uint64(s.num), uint64(position))
-	work := time.Duration(float64(s.fleet.world.Log.Apply) * emulator.Exponential(uniform) * s.applySlowdown / s.currentSpeed())
+	work := time.Duration(float64(s.fleet.world.Log.Apply) * emulator.Exponential(uniform) * s.applySlowdown /
+		s.currentSpeed())
 	time.AfterFunc(work, func() {
 		s.fleet.mu.Lock()
 		defer s.fleet.mu.Unlock()
@@ -602,7 +606,7 @@
 		s.group.primary = nil
 		s.group.elect(s.fleet.world.Failover.Elect)
 	}
-	s.applied = max(s.applied, time.Now().Add(-2*time.Second).UnixMilli()) // it catches up from other members
+	s.applied = max(s.applied, time.Now().Add(-2*time.Second).UnixMilli()) // it has caught up from other members
 	if err := s.listen(); err != nil {
 		return err
 	}
--- a/internal/loopback/liar.go
+++ b/internal/loopback/liar.go
@@ -23,50 +23,51 @@
 	harness    *harness
 	carrier    *carrier.Carrier
 	clock      exchange.Clock
-	variant    string // what the liar says: the field How of its fault
+	variant    string // one of emulator.LiarVariants
 	name       string
 	key        gossip.KeyID
 	rng        *rand.Rand
 	lastNumber uint32 // number of the last rumour
-	counter    int    // number of false statements so far
+	counter    int    // number of false rumours and claims so far
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
 }
 
-// noGateway takes the rumours that a liar's carrier accepts and discards them.
-type noGateway struct{}
+// rumourDiscarder is a carrier.RumourReceiver that discards the rumours, because a liar does not serve clients.
+type rumourDiscarder struct{}
 
-func (noGateway) Rumour(uint32, float64) {}
+func (rumourDiscarder) Rumour(uint32, float64) {}
 
 // startLiar makes a gateway a liar for the rest of the run.
-func (r *harness) startLiar(p *gatewayProcess, variant string) {
+func (h *harness) startLiar(p *gatewayProcess, variant string) {
 	name := fmt.Sprintf("g%04d", p.index)
-	base := filepath.Join(r.dir, name)
-	ring, err := keys.LoadKeyring(base+".crt", base+".key", []string{filepath.Join(r.dir, "day.authority")}, time.Now())
+	base := filepath.Join(h.dir, name)
+	ring, err := keys.LoadKeyring(base+".crt", base+".key", []string{filepath.Join(h.dir, "day.authority")}, time.Now())
 	if err != nil {
-		r.checker.event("liar %d: %v", p.index, err)
+		h.checker.event("liar %d: %v", p.index, err)
 		return
 	}
 	settings := config.Default().Gossip
-	gossipConfig := &r.World.Gossip
+	worldGossip := &h.World.Gossip
 	settings.Cluster, settings.Listen, settings.Seeds = "day", p.gossipAddr,
-		[]string{r.gateways[0].gossipAddr, r.gateways[1].gossipAddr, r.gateways[2].gossipAddr}
-	settings.ProbeEvery, settings.ProbeTimeout, settings.SuspectFor, settings.TellEvery, settings.SyncEvery, settings.RumourLife =
-		gossipConfig.ProbeEvery, gossipConfig.ProbeTimeout, gossipConfig.SuspectFor, gossipConfig.TellEvery, gossipConfig.SyncEvery,
-		gossipConfig.RumourLife
-	l := &liar{harness: r, variant: variant, name: name, key: ring.Certificate.KeyID(),
-		rng: rand.New(rand.NewPCG(r.Seed, 0x11a4+uint64(p.index))), lastNumber: 1 << 20, clock: exchange.StartClock()}
-	if l.carrier, err = carrier.New(settings, name, ring, l.clock, noGateway{}, func(uint32) string { return "" }); err != nil {
-		r.checker.event("liar %d: %v", p.index, err)
+		[]string{h.gateways[0].gossipAddr, h.gateways[1].gossipAddr, h.gateways[2].gossipAddr}
+	settings.ProbeEvery, settings.ProbeTimeout, settings.SuspectFor, settings.TellEvery, settings.SyncEvery,
+		settings.RumourLife = worldGossip.ProbeEvery, worldGossip.ProbeTimeout, worldGossip.SuspectFor, worldGossip.TellEvery,
+		worldGossip.SyncEvery, worldGossip.RumourLife
+	l := &liar{harness: h, variant: variant, name: name, key: ring.Certificate.KeyID(),
+		rng: rand.New(rand.NewPCG(h.Seed, 0x11a4+uint64(p.index))), lastNumber: 1 << 20, clock: exchange.StartClock()}
+	if l.carrier, err = carrier.New(settings, name, ring, l.clock, rumourDiscarder{},
+		func(uint32) string { return "" }); err != nil {
+		h.checker.event("liar %d: %v", p.index, err)
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancel = cancel
 	l.running.Go(func() { l.carrier.Run(ctx) })
 	l.running.Go(func() { l.run(ctx, settings.TellEvery) })
-	r.mu.Lock()
-	r.liars[p.index] = l
-	r.mu.Unlock()
+	h.mu.Lock()
+	h.liars[p.index] = l
+	h.mu.Unlock()
 }
 
 // stop ends the liar and waits for its goroutines.
@@ -76,8 +77,8 @@
 }
 
 // run sends false gossip at an interval until the context is cancelled.
-func (l *liar) run(ctx context.Context, every time.Duration) {
-	tick := time.NewTicker(every)
+func (l *liar) run(ctx context.Context, interval time.Duration) {
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -88,7 +89,7 @@
 		peers := l.carrier.Peers()
 		for range 5 {
 			if len(peers) > 0 {
-				l.sendLies(peers)
+				l.sendFalseGossip(peers)
 			}
 		}
 	}
@@ -102,9 +103,9 @@
 		Symptom: symptom, Strength: 255, Number: l.lastNumber, Made: l.clock.Now() + ahead}}
 }
 
-// sendLies sends one datagram of false gossip to a random peer. The liar cannot send what another member must have
-// signed.
-func (l *liar) sendLies(peers []gossip.Peer) {
+// sendFalseGossip sends one datagram of false gossip to a random peer. The liar holds one key, so it cannot send what
+// other members would have to sign.
+func (l *liar) sendFalseGossip(peers []gossip.Peer) {
 	to := peers[l.rng.IntN(len(peers))]
 	message := &gossip.Message{Kind: gossip.Tell, Clock: l.clock.Now()}
 	servers := l.harness.fleet.servers
@@ -120,7 +121,8 @@
 			message.Claims = append(message.Claims, gossip.Claim{Kind: gossip.Accused, Name: accused.Name,
 				Incarnation: 1 << 20, By: l.name, Key: l.key, Run: l.carrier.RunID(), Clock: l.clock.Now()})
 		case "future":
-			message.Rumours = append(message.Rumours, l.newRumour(num, gossip.Silent, time.Duration(l.rng.IntN(3600))*time.Second))
+			message.Rumours = append(message.Rumours,
+				l.newRumour(num, gossip.Silent, time.Duration(l.rng.IntN(3600))*time.Second))
 		case "contradict":
 			symptom := gossip.Silent
 			if l.counter/7%2 == 0 {
--- a/internal/loopback/rig.go
+++ b/internal/loopback/rig.go
@@ -42,11 +42,11 @@
 }
 
 // marksRetries reports whether the clients of a gateway mark retries as such.
-func (d *Scenario) marksRetries(index int) bool {
-	if d.ChangeSettings == nil {
-		return d.World.Clients.Marks
+func (s *Scenario) marksRetries(index int) bool {
+	if s.ChangeSettings == nil {
+		return s.World.Clients.Marks
 	}
-	return d.ChangeSettings(index, deploymentSettings(&d.World))
+	return s.ChangeSettings(index, deploymentSettings(&s.World))
 }
 
 // allocatedAddrs counts the addresses that freeAddr has returned.
@@ -86,9 +86,10 @@
 var FaultKinds = []string{"crash", "hang", "slow", "error", "refuse", "slow_apply", "drain", "list_silent",
 	"gateway_crash", "gateway_roll", "gateway_pause", "liar"}
 
-// Run runs a scenario. It takes as long as the scenario's world lasts and leaves nothing running.
-func Run(ctx context.Context, d Scenario) (*Result, error) {
-	for i, f := range d.Faults {
+// Run runs a scenario. It takes as long as the scenario's world lasts and leaves nothing running. A cancelled context
+// ends the run only before the first op.
+func Run(ctx context.Context, scenario Scenario) (*Result, error) {
+	for i, f := range scenario.Faults {
 		if !slices.Contains(FaultKinds, f.Kind) {
 			return nil, fmt.Errorf("faults[%d]: %q cannot be injected on sockets; expected one of %s", i, f.Kind,
 				strings.Join(FaultKinds, ", "))
@@ -99,64 +100,65 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	r := &harness{Scenario: d, dir: dir, liars: map[int]*liar{}}
-	r.checker = newChecker(&r.World)
-	if r.fleet, err = newFleet(&r.World, d.Seed, r.checker); err != nil {
+	h := &harness{Scenario: scenario, dir: dir, liars: map[int]*liar{}}
+	h.checker = newChecker(&h.World)
+	if h.fleet, err = newFleet(&h.World, scenario.Seed, h.checker); err != nil {
 		return nil, err
 	}
-	defer r.fleet.close()
-	if r.discoveryAddr, err = r.fleet.discovery.listen(); err != nil {
+	defer h.fleet.close()
+	if h.discoveryAddr, err = h.fleet.discovery.listen(); err != nil {
 		return nil, err
 	}
-	defer r.fleet.discovery.close()
-	defer r.stop()
-	if err := r.startGateways(); err != nil {
+	defer h.fleet.discovery.close()
+	defer h.stop()
+	if err := h.startGateways(); err != nil {
 		return nil, err
 	}
 	select {
-	case <-time.After(d.WarmUp):
+	case <-time.After(scenario.WarmUp):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	var addrs []string
-	for _, p := range r.gateways {
+	for _, p := range h.gateways {
 		addrs = append(addrs, p.addr)
 	}
-	c := newClients(&r.World, d.Seed, addrs, r.pickGateway, r.marksRetries)
-	r.checker.start = time.Now()
+	c := newClients(&h.World, scenario.Seed, addrs, h.pickGateway, h.marksRetries)
+	h.checker.start = time.Now()
 	stop := make(chan struct{})
 	var faults sync.WaitGroup
-	for i := range d.Faults {
-		faults.Go(func() { r.injectFault(&d.Faults[i], i, stop) })
+	for i := range scenario.Faults {
+		faults.Go(func() { h.injectFault(&scenario.Faults[i], i, stop) })
 	}
 	c.run()
 	close(stop)
 	faults.Wait()
-	r.stop()
+	h.stop()
 	res := c.result
-	r.checker.mu.Lock()
-	defer r.checker.mu.Unlock()
-	for i, n := range r.checker.violations {
+	h.checker.mu.Lock()
+	defer h.checker.mu.Unlock()
+	for i, n := range h.checker.violations {
 		res.Broken[i] += n
 	}
-	res.Stories = append(res.Stories, r.checker.stories...)
-	res.Events, res.Sends = r.checker.events, r.checker.sends
-	res.StartupTimes = r.checker.startupTimes
-	for _, p := range r.gateways {
+	res.Stories = append(res.Stories, h.checker.stories...)
+	res.Events, res.Sends = h.checker.events, h.checker.sends
+	res.StartupTimes = h.checker.startupTimes
+	for _, p := range h.gateways {
 		res.CounterLogs = append(res.CounterLogs, p.counterLines)
 	}
 	return res, nil
 }
 
 // deploymentSettings returns the settings of the deployment that the gateways get.
-func deploymentSettings(w *emulator.World) map[string]any {
+func deploymentSettings(world *emulator.World) map[string]any {
 	var classes []any
 	var needs, bounds []any
-	for _, t := range w.OpTypes {
+	for _, t := range world.OpTypes {
 		effect := map[string]string{"retryable": "retryable", "tokened": "dedup", "non_retryable": "fragile"}[t.Effect]
 		scope := map[string]string{"group": "cell", "zone": "zone", "all": "all"}[t.Scope]
 		classes = append(classes, map[string]any{"name": t.Name, "effect": effect, "dedup_scope": scope,
-			"window": int64(t.Window), "target": int64(t.Target), "give_up": int64(t.Timeout), "worth": t.Value, "late_value": t.LateValue})
+			"window": int64(t.Window), "target": int64(t.Target), "give_up": int64(t.Timeout), "worth": t.Value,
+			"late_value": t.LateValue})
 		needs = append(needs, map[string]string{"write": "mutate", "fresh": "strong", "session": "causal",
 			"bounded": "lag_bound", "any": "eventual"}[t.Need])
 		bound := int64(0)
@@ -165,35 +167,35 @@
 		}
 		bounds = append(bounds, bound)
 	}
-	checks := map[string]string{"none": "silent", "refuses": "bounce", "waits": "await"}[w.Reports.Checks]
+	checks := map[string]string{"none": "silent", "refuses": "bounce", "waits": "await"}[world.Reports.Checks]
 	writeMarks := "kept"
-	if w.Reports.Carried {
+	if world.Reports.Carried {
 		writeMarks = "brought"
 	}
 	report := map[string]any{"via": "none"}
-	if w.Reports.Probes {
+	if world.Reports.Probes {
 		report = map[string]any{"via": "pull", "names": []any{"x0", "x1"}}
 	}
 	mode := "pushed"
-	if w.List.Asked {
+	if world.List.Asked {
 		mode = "on_request"
 	}
-	return map[string]any{"balancers": w.Gateways.Count, "round": int64(w.Gateways.Round), "registry_mode": mode,
+	return map[string]any{"balancers": world.Gateways.Count, "round": int64(world.Gateways.Round), "registry_mode": mode,
 		"classes": classes, "report": report,
-		"family_info": map[string]any{"needs_by_class": needs, "lag_allowed": bounds, "tells_position": w.Reports.Answers,
+		"family_info": map[string]any{"needs_by_class": needs, "lag_allowed": bounds, "tells_position": world.Reports.Answers,
 			"write_marks": writeMarks, "checks": checks},
-		"limits": map[string]any{"connect_timeout": int64(w.Servers.ConnectFor), "keepalive": int64(w.Servers.Idle),
-			"max_attempts": w.Gateways.MaxSends, "may_cancel": w.Gateways.Cancels, "probing": w.Gateways.Probes,
-			"retry_after": w.Gateways.ComeBack > 0, "max_retry_after": int64(w.Gateways.ComeBack)},
-		"rules": map[string]any{"must_ask_in": int64(w.List.Within), "cold_from": w.Servers.ColdFrom,
-			"cold": int64(w.Servers.ColdTime), "overload_factor": w.Rules.Overload, "fall": int64(w.Rules.FallTime),
-			"only_draining_binds": w.Reports.GoneRuns}}
+		"limits": map[string]any{"connect_timeout": int64(world.Servers.ConnectFor), "keepalive": int64(world.Servers.Idle),
+			"max_attempts": world.Gateways.MaxSends, "may_cancel": world.Gateways.Cancels, "probing": world.Gateways.Probes,
+			"retry_after": world.Gateways.ComeBack > 0, "max_retry_after": int64(world.Gateways.ComeBack)},
+		"rules": map[string]any{"must_ask_in": int64(world.List.Within), "cold_from": world.Servers.ColdFrom,
+			"cold": int64(world.Servers.ColdTime), "overload_factor": world.Rules.Overload, "fall": int64(world.Rules.FallTime),
+			"only_draining_binds": world.Reports.GoneRuns}}
 }
 
-// freeAddr returns an address whose port is free for TCP and UDP.
+// freeAddr returns an address in 127.0.0.0/8 whose port is free for TCP and UDP.
 func freeAddr() (string, error) {
-	// Each address has a host of its own in 127.0.0.0/8: the port has to stay free while the process is down, and other
-	// processes, and outgoing connections, take free ports of 127.0.0.1.
+	// Each address has a host of its own, because the port has to stay free while the process is down, and other processes
+	// and outgoing connections take free ports of 127.0.0.1.
 	host := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>8%64, os.Getpid()&255, 1+allocatedAddrs.Add(1)%250)
 	for range 20 {
 		l, err := net.Listen("tcp", host+":0")
@@ -208,25 +210,25 @@
 			return addr, nil
 		}
 	}
-	return "", errors.New("no free port")
+	return "", errors.New("found no port that is free for TCP and UDP in 20 attempts")
 }
 
-// startGateways starts the gateways and waits until each accepts ops.
-func (r *harness) startGateways() error {
+// startGateways starts all gateways and waits until each accepts ops.
+func (h *harness) startGateways() error {
 	var err error
-	if r.authority, err = keys.NewAuthority("day"); err != nil {
+	if h.authority, err = keys.NewAuthority("day"); err != nil {
 		return err
 	}
-	if _, _, err = keys.WriteAuthority(r.dir, r.authority); err != nil {
+	if _, _, err = keys.WriteAuthority(h.dir, h.authority); err != nil {
 		return err
 	}
-	known, err := json.Marshal(r.fleet.discovery.listSince(0))
+	known, err := json.Marshal(h.fleet.discovery.listSince(0))
 	if err != nil {
 		return err
 	}
 	var seeds []string
-	for i := range r.World.Gateways.Count {
-		p := &gatewayProcess{harness: r, index: i}
+	for i := range h.World.Gateways.Count {
+		p := &gatewayProcess{harness: h, index: i}
 		if p.addr, err = freeAddr(); err != nil {
 			return err
 		}
@@ -236,12 +238,12 @@
 		if len(seeds) < 3 {
 			seeds = append(seeds, p.gossipAddr)
 		}
-		r.gateways = append(r.gateways, p)
+		h.gateways = append(h.gateways, p)
 	}
-	for _, p := range r.gateways {
-		values := deploymentSettings(&r.World)
-		if r.ChangeSettings != nil {
-			r.ChangeSettings(p.index, values)
+	for _, p := range h.gateways {
+		values := deploymentSettings(&h.World)
+		if h.ChangeSettings != nil {
+			h.ChangeSettings(p.index, values)
 		}
 		settings, err := json.Marshal(values)
 		if err != nil {
@@ -254,7 +256,7 @@
 			return err
 		}
 	}
-	for _, p := range r.gateways {
+	for _, p := range h.gateways {
 		if err := p.waitReady(); err != nil {
 			return err
 		}
@@ -364,24 +366,24 @@
 		case <-p.exited:
 			p.harness.mu.Lock()
 			defer p.harness.mu.Unlock()
-			return fmt.Errorf("gateway %d ended at its start: %s", p.index, p.lastLine)
+			return fmt.Errorf("gateway %d ended before it accepted ops; its last log line: %s", p.index, p.lastLine)
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("gateway %d does not answer", p.index)
+			return fmt.Errorf("gateway %d does not accept ops 20 s after its start", p.index)
 		}
 	}
 }
 
 // pickGateway returns the index of the gateway to which a load balancer routes a client: the client's home gateway, or
 // the next one once the load balancer has detected that the home gateway is down.
-func (r *harness) pickGateway(home int) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	n := len(r.gateways)
+func (h *harness) pickGateway(home int) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	n := len(h.gateways)
 	for i := range n {
-		p := r.gateways[(home+i)%n]
-		if p.downSince.IsZero() || time.Since(p.downSince) < r.World.Gateways.FrontKnows {
+		p := h.gateways[(home+i)%n]
+		if p.downSince.IsZero() || time.Since(p.downSince) < h.World.Gateways.FrontKnows {
 			return p.index
 		}
 	}
@@ -389,11 +391,11 @@
 }
 
 // killAndRestart kills a gateway and starts it again after a delay.
-func (r *harness) killAndRestart(p *gatewayProcess, back time.Duration, stop <-chan struct{}) {
-	r.mu.Lock()
+func (h *harness) killAndRestart(p *gatewayProcess, back time.Duration, stop <-chan struct{}) {
+	h.mu.Lock()
 	cmd := p.cmd
 	p.downSince = time.Now()
-	r.mu.Unlock()
+	h.mu.Unlock()
 	cmd.Process.Kill()
 	<-p.exited
 	select {
@@ -401,44 +403,45 @@
 	case <-stop:
 		return
 	}
-	r.mu.Lock()
-	closing := r.closing
-	r.mu.Unlock()
+	h.mu.Lock()
+	closing := h.closing
+	h.mu.Unlock()
 	if closing {
 		return
 	}
 	began := time.Now()
 	if err := errors.Join(p.start(), p.waitReady()); err != nil {
-		r.checker.event("gateway %d does not start again: %v", p.index, err)
+		h.checker.event("gateway %d does not start again: %v", p.index, err)
 	}
-	r.checker.gatewayReady(time.Since(began))
+	h.checker.gatewayReady(time.Since(began))
 }
 
 // Times of a planned stop, as the platform does it.
 const (
-	// frontDelay is how long the load balancer still routes clients to the gateway after the stop.
+	// frontDelay is how long the load balancer still routes clients to the gateway after the stop has begun.
 	frontDelay = 300 * time.Millisecond
-	// maxDrainTime limits the time that a gateway has to end its ops; it has the longest op timeout if that is shorter.
+	// maxDrainTime is the longest time that a gateway has to end its ops; it has the longest op timeout if that is
+	// shorter.
 	maxDrainTime = 3 * time.Second
-	// killMargin is the time after that at which the process is killed.
+	// killMargin is how long after that time the process is killed if it is still running.
 	killMargin = 700 * time.Millisecond
 )
 
 // stopAndRestart makes a planned stop of a gateway and starts it again after a delay.
-func (r *harness) stopAndRestart(p *gatewayProcess, back time.Duration, stop <-chan struct{}) {
+func (h *harness) stopAndRestart(p *gatewayProcess, back time.Duration, stop <-chan struct{}) {
 	longest := time.Duration(0)
-	for _, t := range r.World.OpTypes {
+	for _, t := range h.World.OpTypes {
 		longest = max(longest, t.Timeout)
 	}
-	r.mu.Lock()
+	h.mu.Lock()
 	cmd := p.cmd
-	p.downSince = time.Now().Add(frontDelay - r.World.Gateways.FrontKnows) // pickGateway adds FrontKnows
-	r.mu.Unlock()
+	p.downSince = time.Now().Add(frontDelay - h.World.Gateways.FrontKnows) // pickGateway adds FrontKnows
+	h.mu.Unlock()
 	cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
 	case <-time.After(min(longest, maxDrainTime) + killMargin):
-		r.checker.event("gateway %d is killed: it did not end", p.index)
+		h.checker.event("gateway %d is killed: it did not end", p.index)
 		cmd.Process.Kill()
 		<-p.exited
 	}
@@ -447,35 +450,35 @@
 	case <-stop:
 		return
 	}
-	r.mu.Lock()
-	closing := r.closing
-	r.mu.Unlock()
+	h.mu.Lock()
+	closing := h.closing
+	h.mu.Unlock()
 	if closing {
 		return
 	}
 	began := time.Now()
 	if err := errors.Join(p.start(), p.waitReady()); err != nil {
-		r.checker.event("gateway %d does not start again: %v", p.index, err)
+		h.checker.event("gateway %d does not start again: %v", p.index, err)
 	}
-	r.checker.gatewayReady(time.Since(began))
+	h.checker.gatewayReady(time.Since(began))
 }
 
-// stop ends all gateways by SIGTERM and waits for them. Those that have not ended after 10 s are killed.
-func (r *harness) stop() {
-	r.mu.Lock()
-	already := r.closing
-	r.closing = true
+// stop ends all liars and running gateways and waits for them. Gateways that have not ended 10 s after SIGTERM are killed.
+func (h *harness) stop() {
+	h.mu.Lock()
+	alreadyCalled := h.closing
+	h.closing = true
 	var running []*gatewayProcess
-	for _, p := range r.gateways {
+	for _, p := range h.gateways {
 		if p.cmd != nil && p.downSince.IsZero() {
 			running = append(running, p)
 		}
 	}
-	r.mu.Unlock()
-	if already {
+	h.mu.Unlock()
+	if alreadyCalled {
 		return
 	}
-	for _, l := range r.liars {
+	for _, l := range h.liars {
 		l.stop()
 	}
 	for _, p := range running {
@@ -489,11 +492,11 @@
 			p.cmd.Process.Kill()
 		}
 	}
-	r.logReaders.Wait()
+	h.logReaders.Wait()
 }
 
 // pickTargets draws the servers or gateways that a fault affects, as the emulator does.
-func (r *harness) pickTargets(f *emulator.Fault, rng *mathrand.Rand) (servers []*server, gateways []*gatewayProcess) {
+func (h *harness) pickTargets(f *emulator.Fault, rng *mathrand.Rand) (servers []*server, gateways []*gatewayProcess) {
 	amount := func(of int) int {
 		n := f.Count
 		if f.Share > 0 {
@@ -502,18 +505,18 @@
 		return min(of, max(1, n))
 	}
 	if strings.HasPrefix(f.Kind, "gateway") || f.Kind == "liar" {
-		for _, i := range rng.Perm(len(r.gateways))[:amount(len(r.gateways))] {
-			gateways = append(gateways, r.gateways[i])
+		for _, i := range rng.Perm(len(h.gateways))[:amount(len(h.gateways))] {
+			gateways = append(gateways, h.gateways[i])
 		}
 		return nil, gateways
 	}
-	r.fleet.mu.Lock()
-	defer r.fleet.mu.Unlock()
+	h.fleet.mu.Lock()
+	defer h.fleet.mu.Unlock()
 	var candidates []*server
-	for _, s := range r.fleet.servers {
+	for _, s := range h.fleet.servers {
 		primary := s.group.primary == s
-		if s.listener == nil || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.groupIndex() != f.Group-1 || f.Of == "primaries" && !primary ||
-			f.Of == "replicas" && primary {
+		if s.listener == nil || f.Zone > 0 && s.zone != f.Zone-1 || f.Group > 0 && s.groupIndex() != f.Group-1 ||
+			f.Of == "primaries" && !primary || f.Of == "replicas" && primary {
 			continue
 		}
 		candidates = append(candidates, s)
@@ -526,16 +529,17 @@
 	return servers, nil
 }
 
-// faultRand returns the random numbers of the fault with an index.
-func (r *harness) faultRand(index int) *mathrand.Rand {
-	return mathrand.New(mathrand.NewPCG(r.Seed, 0xfa01+uint64(index)))
+// faultRand returns a source of the random numbers of the fault with an index. Each call begins at the first number, so
+// that liarIndexes and injectFault pick the same gateways.
+func (h *harness) faultRand(index int) *mathrand.Rand {
+	return mathrand.New(mathrand.NewPCG(h.Seed, 0xfa01+uint64(index)))
 }
 
-// liarIndexes returns the indexes of the gateways that faults make liars.
-func (r *harness) liarIndexes() (indexes []int) {
-	for i := range r.Faults {
-		if f := &r.Faults[i]; f.Kind == "liar" {
-			_, gateways := r.pickTargets(f, r.faultRand(i))
+// liarIndexes returns the indexes of the gateways that faults make liars at some time of the run.
+func (h *harness) liarIndexes() (indexes []int) {
+	for i := range h.Faults {
+		if f := &h.Faults[i]; f.Kind == "liar" {
+			_, gateways := h.pickTargets(f, h.faultRand(i))
 			for _, p := range gateways {
 				indexes = append(indexes, p.index)
 			}
@@ -544,8 +548,8 @@
 	return indexes
 }
 
-// injectFault injects one fault at its times until the run stops.
-func (r *harness) injectFault(f *emulator.Fault, index int, stop <-chan struct{}) {
+// injectFault injects the fault with an index at its times until the run stops.
+func (h *harness) injectFault(f *emulator.Fault, index int, stop <-chan struct{}) {
 	wait := func(d time.Duration) bool {
 		select {
 		case <-time.After(d):
@@ -554,7 +558,7 @@
 			return false
 		}
 	}
-	rng := r.faultRand(index)
+	rng := h.faultRand(index)
 	if f.At > 0 && !wait(f.At) {
 		return
 	}
@@ -563,20 +567,20 @@
 		size = map[string]float64{"slow": 5, "error": 0.6, "slow_apply": 8}[f.Kind]
 	}
 	if f.Kind == "list_silent" {
-		r.checker.event("all watches fall silent")
-		r.fleet.discovery.silenceWatches()
+		h.checker.event("all watches fall silent")
+		h.fleet.discovery.silenceWatches()
 		return
 	}
 	for {
-		servers, gateways := r.pickTargets(f, rng)
-		r.checker.event("%s begins at %d servers, %d gateways", f.Kind, len(servers), len(gateways))
+		servers, gateways := h.pickTargets(f, rng)
+		h.checker.event("%s begins at %d servers, %d gateways", f.Kind, len(servers), len(gateways))
 		var running sync.WaitGroup
 		for i, p := range gateways {
 			switch f.Kind {
 			case "gateway_crash":
-				running.Go(func() { r.killAndRestart(p, max(f.Back, 100*time.Millisecond), stop) })
+				running.Go(func() { h.killAndRestart(p, max(f.Back, 100*time.Millisecond), stop) })
 			case "gateway_roll":
-				running.Go(func() { r.stopAndRestart(p, max(f.Back, 100*time.Millisecond), stop) })
+				running.Go(func() { h.stopAndRestart(p, max(f.Back, 100*time.Millisecond), stop) })
 			case "gateway_pause":
 				p.cmd.Process.Signal(syscall.SIGSTOP)
 				running.Go(func() {
@@ -584,24 +588,24 @@
 					p.cmd.Process.Signal(syscall.SIGCONT)
 				})
 			case "liar":
-				if r.Gossip {
+				if h.Gossip {
 					variant := f.How
 					if variant == "" || variant == "mixed" {
 						variant = emulator.LiarVariants[i%len(emulator.LiarVariants)]
 					}
-					r.startLiar(p, variant)
+					h.startLiar(p, variant)
 				}
 			}
 		}
 		for _, s := range servers {
-			r.setServerFault(f.Kind, s, size, true)
+			h.setServerFault(f.Kind, s, size, true)
 		}
 		if f.For > 0 {
 			wait(f.For)
 			for _, s := range servers {
-				r.setServerFault(f.Kind, s, size, false)
+				h.setServerFault(f.Kind, s, size, false)
 			}
-			r.checker.event("%s ends", f.Kind)
+			h.checker.event("%s ends", f.Kind)
 		}
 		running.Wait()
 		if f.Every <= 0 || !wait(max(0, f.Every-f.For)) {
@@ -611,22 +615,22 @@
 }
 
 // setServerFault starts or ends a fault of a server.
-func (r *harness) setServerFault(kind string, s *server, severity float64, start bool) {
+func (h *harness) setServerFault(kind string, s *server, severity float64, start bool) {
 	switch kind {
 	case "crash":
 		if start {
 			s.crash()
 		} else if err := s.start(); err != nil {
-			r.checker.event("server %d does not start again: %v", s.num, err)
+			h.checker.event("server %d does not start again: %v", s.num, err)
 		}
-	case "drain": // the process restarts when the fault ends, and is cold then
+	case "drain": // when the fault ends, the process restarts cold
 		if start {
 			s.update(func(s *server) { s.draining = true })
-			r.fleet.discovery.publishAfter(s, 0)
+			h.fleet.discovery.publishAfter(s, 0)
 		} else {
 			s.crash()
 			if err := s.start(); err != nil {
-				r.checker.event("server %d does not start again: %v", s.num, err)
+				h.checker.event("server %d does not start again: %v", s.num, err)
 			}
 		}
 	case "hang":
