--- a/internal/experiment/file.go
+++ b/internal/experiment/file.go
@@ -24,7 +24,7 @@
 	SeedFrom uint64            `yaml:"seed_from"` // first seed; the others follow it
 	Expect   []Expectation     `yaml:"expect"`
 	Charts   []Chart           `yaml:"charts"`
-	Base     string            `yaml:"base"` // the arm for others to be compared with, if not empty; it is only checked to exist
+	Base     string            `yaml:"base"` // arm to compare others with; only checked to exist
 
 	Arms []Arm // in the order of the file
 }
@@ -54,23 +54,23 @@
 	Name    string   `yaml:"name"`
 	Metric  string   `yaml:"metric"`
 	Arm     string   `yaml:"arm"`
-	Over    string   `yaml:"over"`    // another arm: the value is the ratio of Arm to it, for each seed
-	Less    string   `yaml:"less"`    // another arm: the value is the difference of Arm and it, for each seed
-	Between []string `yaml:"between"` // two arms, floor and top: (mean of Arm - floor) / (top - floor)
-	Of      string   `yaml:"of"`      // mean, least or most over the seeds; mean if empty
-	AtLeast *float64 `yaml:"at_least"`
-	AtMost  *float64 `yaml:"at_most"`
+	Over    string   `yaml:"over"`     // another arm: the value is the ratio of Arm to it, for each seed
+	Less    string   `yaml:"less"`     // another arm: the value is the difference of Arm and it, for each seed
+	Between []string `yaml:"between"`  // two arms, floor and top: (mean of Arm - floor) / (top - floor)
+	Of      string   `yaml:"of"`       // mean, least or most over the seeds; mean if empty
+	AtLeast *float64 `yaml:"at_least"` // lower bound; none if nil
+	AtMost  *float64 `yaml:"at_most"`  // upper bound; none if nil
 }
 
 // Chart is a chart of the experiment's result.
 type Chart struct {
-	Name   string   `yaml:"name"`
+	Name   string   `yaml:"name"`   // of the file, without .svg
 	Kind   string   `yaml:"kind"`   // bars: metric by arm; time: service over time; line: metric over the arms' labels
 	Metric string   `yaml:"metric"` // service if empty
 	Arms   []string `yaml:"arms"`   // all if empty
 	Title  string   `yaml:"title"`
-	X      string   `yaml:"x"`
-	Y      string   `yaml:"y"`
+	X      string   `yaml:"x"` // label of the horizontal axis; kind time has its own
+	Y      string   `yaml:"y"` // label of the vertical axis; the metric if empty
 }
 
 // Load reads and validates an experiment file. Errors in the file are returned as yamlfile.Problems.
--- a/internal/loopback/clients.go
+++ b/internal/loopback/clients.go
@@ -22,10 +22,10 @@
 // ops.
 type plannedOp struct {
 	arrival           time.Duration // since the start of the run
-	id                uint64
+	id                uint64        // from 1
 	opType            *emulator.OpType
-	group             int
-	session           int
+	group             int     // index
+	session           int     // from 1
 	homeGateway       int     // index of the gateway that the client normally uses
 	patience          float64 // fraction of the op timeout that the client waits for an answer
 	honoursRetryAfter bool    // the client waits as long as a busy reply asks for
@@ -37,13 +37,13 @@
 	gateways     []string                   // addresses by index
 	pickGateway  func(home int) (index int) // the load balancer, which the harness simulates
 	marksRetries func(home int) bool        // reports whether the clients of a gateway mark retries as such
-	plan         []plannedOp
-	start        time.Time
+	plan         []plannedOp                // by arrival
+	start        time.Time                  // of the run
 	running      sync.WaitGroup
 
 	mu         sync.Mutex
 	idleConns  map[int][]*conn // by gateway
-	lastWrites map[int]int64   // time of the last acked write by session, Unix milliseconds
+	lastWrites map[int]int64   // by session, the time of the last ack of a write, Unix milliseconds
 	result     *Result
 	slots      chan struct{} // holds an element for each op in progress
 }
--- a/internal/loopback/discovery.go
+++ b/internal/loopback/discovery.go
@@ -16,10 +16,10 @@
 	listener   net.Listener
 	httpServer *http.Server
 
-	mu       sync.Mutex
-	version  int
+	mu       sync.Mutex // guards all fields below
+	version  int        // of the list; incremented by each change
 	entries  []entry
-	changes  []change
+	changes  []change      // since the start of the run
 	updated  chan struct{} // closed at each change of the list
 	silenced chan struct{} // closed when the open watches fall silent
 }
@@ -33,7 +33,7 @@
 	Cell      int     `json:"cell"`
 	State     string  `json:"state"`
 	Role      string  `json:"role,omitempty"`
-	Weight    float64 `json:"weight"`
+	Weight    float64 `json:"weight"`     // number of cores
 	Started   int64   `json:"started_ms"` // Unix milliseconds
 	serverNum int
 }
--- a/internal/loopback/fleet.go
+++ b/internal/loopback/fleet.go
@@ -63,7 +63,7 @@
 	generation    int          // number of ended processes; work of an earlier generation is discarded
 	conns         map[net.Conn]struct{}
 	started       time.Time // zero if it has run for so long that it is not cold
-	draining      bool
+	draining      bool      // from the start of a drain fault on, also after the process has started again
 	hung          bool
 	refusing      bool    // it answers every op with SQLSTATE 53300
 	slowdown      float64 // factor on all work; 1 without a fault
@@ -89,18 +89,18 @@
 	write       bool
 	minPosition int64 // position in the log that a read must see, Unix milliseconds; 0 if any
 	token       *token
-	tokenKey    string
-	sentAt      time.Time // when the query arrived
-	done        chan answer
+	tokenKey    string      // token of a tokened op as the gateway sends it
+	sentAt      time.Time   // when the query arrived
+	done        chan answer // receives the answer
 }
 
 // answer is a server's answer to a query.
 type answer struct {
 	code     string // SQLSTATE; empty for a value
 	value    string
-	role     string
-	position int64 // in the log: of the server, or of the commit for a write with a token
-	reset    bool  // the connection ends without an answer
+	role     string // primary or replica; empty if the answer does not carry it
+	position int64  // in the log: of the server, or of the commit for a write with a token
+	reset    bool   // the connection ends without an answer
 }
 
 // newFleet starts all servers and fills the list.
--- a/internal/loopback/rig.go
+++ b/internal/loopback/rig.go
@@ -49,23 +49,23 @@
 	return s.ChangeSettings(index, deploymentSettings(&s.World))
 }
 
-// allocatedAddrs counts the addresses that freeAddr has returned.
+// allocatedAddrs counts the calls of freeAddr, so that up to 250 of them each use another host.
 var allocatedAddrs atomic.Int64
 
 // harness runs one scenario.
 type harness struct {
 	Scenario
-	dir           string
+	dir           string // folder of the gateways' configuration, keys and certificates
 	fleet         *fleet
 	checker       *checker
 	discoveryAddr string
-	authority     *keys.Authority
+	authority     *keys.Authority // issues the certificates of the gateways
 
-	mu         sync.Mutex
+	mu         sync.Mutex        // guards the fields below and those of the gateways
 	gateways   []*gatewayProcess // by index
 	liars      map[int]*liar     // by index of the gateway
 	closing    bool              // stop has been called
-	logReaders sync.WaitGroup
+	logReaders sync.WaitGroup    // goroutines that read the log of a process until it ends
 }
 
 // gatewayProcess is the process of one gateway. It may end and be started again.
@@ -74,12 +74,12 @@
 	index        int
 	addr         string
 	gossipAddr   string
-	env          []string
-	cmd          *exec.Cmd
-	downSince    time.Time // zero while it runs
-	counterLines string    // log lines with counters
-	lastLine     string    // last log line
-	exited       chan struct{}
+	env          []string      // environment of the process
+	cmd          *exec.Cmd     // nil before the first start
+	downSince    time.Time     // zero while it runs
+	counterLines string        // log lines with counters
+	lastLine     string        // last log line
+	exited       chan struct{} // closed when the process has ended
 }
 
 // FaultKinds lists the kinds of faults that can be injected on sockets.
@@ -348,7 +348,8 @@
 	return nil
 }
 
-// waitReady waits until the gateway accepts ops.
+// waitReady waits until the gateway accepts ops. It fails if the process ends, with its last log line, or if 20 s have
+// passed. The texts of its errors become part of a run's events.
 func (p *gatewayProcess) waitReady() error {
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		if c, err := net.DialTimeout("tcp", p.addr, time.Second); err == nil {
@@ -366,11 +367,11 @@
 		case <-p.exited:
 			p.harness.mu.Lock()
 			defer p.harness.mu.Unlock()
-			return fmt.Errorf("gateway %d ended before it accepted ops; its last log line: %s", p.index, p.lastLine)
+			return fmt.Errorf("gateway %d ended at its start: %s", p.index, p.lastLine)
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("gateway %d does not accept ops 20 s after its start", p.index)
+			return fmt.Errorf("gateway %d does not answer", p.index)
 		}
 	}
 }
@@ -463,7 +464,8 @@
 	h.checker.gatewayReady(time.Since(began))
 }
 
-// stop ends all liars and running gateways and waits for them. Gateways that have not ended 10 s after SIGTERM are killed.
+// stop ends all liars and running gateways and waits for them. Gateways that have not ended 10 s after SIGTERM are
+// killed.
 func (h *harness) stop() {
 	h.mu.Lock()
 	alreadyCalled := h.closing
@@ -497,7 +499,7 @@
 
 // pickTargets draws the servers or gateways that a fault affects, as the emulator does.
 func (h *harness) pickTargets(f *emulator.Fault, rng *mathrand.Rand) (servers []*server, gateways []*gatewayProcess) {
-	amount := func(of int) int {
+	amount := func(of int) int { // number of targets among the candidates
 		n := f.Count
 		if f.Share > 0 {
 			n = int(f.Share*float64(of) + 0.5)
@@ -623,7 +625,7 @@
 		} else if err := s.start(); err != nil {
 			h.checker.event("server %d does not start again: %v", s.num, err)
 		}
-	case "drain": // when the fault ends, the process restarts cold
+	case "drain": // when the fault ends, the process restarts cold and goes on draining
 		if start {
 			s.update(func(s *server) { s.draining = true })
 			h.fleet.discovery.publishAfter(s, 0)
