--- a/choice/choice.go
+++ b/choice/choice.go
@@ -329,11 +329,17 @@
 	g.expectedRetries = append(g.expectedRetries[max(0, len(g.expectedRetries)-maxExpectedRetries+1):], o)
 }
 
-// matchRetry looks for an earlier try of an op, and if there is one counts the latency target from that. A marked
-// retry matches an expected one of the same op type, group and session. Where clients do not mark retries, an op with a
-// session is matched by these alone. One without a session must also arrive soon after the earlier try ended, or
-// after the time that its busy reply named: within the mean time between two ops of its type and group, and in the
-// second case within a short wait.
+// matchRetry looks for an earlier try of an op among the expected retries. If there is one, the op's latency target and
+// op timeout count from the first try.
+//
+// An earlier try matches if its op timeout has not passed and if it has the same op type, group and session. That is
+// enough for an op that its client marked as a retry and, where clients do not mark retries, for an op with a session.
+// Where they do not, an op without a session must also arrive soon after the earlier try ended or soon after the time
+// that its busy reply named. Soon means within the mean time between two ops of its type and group, and in the second
+// case within a short wait at most. Where clients mark retries, an unmarked op matches none. If several tries match,
+// the oldest is used.
+//
+// A marked retry without a match counts as having a share of its latency target left, see holdDivisor.
 func (g *Gateway) matchRetry(now time.Duration, o *op, isRetry bool) {
 	gap, found := o.opType.meanArrivalGap*time.Duration(len(g.groupOrder)), false
 	if isRetry {
@@ -345,7 +351,8 @@
 				now >= e.retryFrom && now < e.retryFrom+min(gap, g.shortWait)))
 		if matches {
 			found, o.targetEnd, o.retriesEnd = true, e.targetEnd, e.retriesEnd
-			// A client that left while a server worked on its op waits for less than the op takes, and would leave again.
+			// If the client left while a server worked on its op, it waits for less time than the op takes and would
+			// leave again. So the latency target of its retry counts as missed.
 			if e.sends > 0 && e.endedAt < e.targetEnd && e.endedAt-e.sentAt > e.opType.meanAnswerTime()/2 {
 				o.targetEnd = now
 			}
@@ -622,11 +629,16 @@
 	return min(1, g.coldCapacityShare+(1-g.coldCapacityShare)*max(0, float64(now-s.warmUpStart)/float64(g.warmUpTime)))
 }
 
-// coldLimitAllows enforces rule 4: a cold server never gets more than the stated multiple of its present capacity, as
-// it would fall over. The capacity is estimated from the work that a warm server takes, scaled by the least share of it
-// that the server had one overload time ago, or from what the server acked recently if that is more. The work is
-// limited by a token bucket that starts at a random level below zero, as the first sends of many gateways would add up
-// to an overload.
+// coldLimitAllows enforces rule 4: a cold server never gets more work than the stated multiple of its present capacity,
+// as it would fall over. It reports whether an op may be sent to the server now, and if so counts the op's work.
+//
+// The capacity is estimated in two ways, of which the greater counts. The first estimate is the work per time that one
+// warm server takes, multiplied by the least share of its full capacity that the cold server had one overload time ago.
+// The second is the work per time that the server acked recently.
+//
+// A token bucket limits the work. It fills at the estimated capacity times overloadFactor times coldSafetyFactor, holds
+// what accumulates in overloadTime/coldBurstDivisor, and lets an op pass if its level is not below zero. It starts at a
+// random level below zero, because the first sends of many gateways together could overload the server.
 func (g *Gateway) coldLimitAllows(now time.Duration, o *op, s *server) bool {
 	work, share := float64(o.opType.meanAnswerTime()), g.capacityShare(now-g.overloadTime, s)
 	if share >= 1 {
@@ -682,7 +694,8 @@
 // however, if servers do not check reads themselves: rule 5, no data older than the op type allows, then rests on the
 // gateway knowing who is not the primary.
 //
-// Reports may be seconds old. So the lag is reduced by twice their mean age, as otherwise every replica would look stale.
+// Reports may be seconds old. So the lag is reduced by twice their mean age, as otherwise every replica would look
+// stale.
 func (g *Gateway) Report(now time.Duration, id uint32, role Role, pos time.Duration) {
 	if s := g.servers[id]; s != nil && (pos == LongPast || role == Replica && !g.replicasCheck) {
 		g.updateRoleAndPosition(now, s, role, pos, now)
@@ -720,7 +733,11 @@
 	s.lastHeardAt, s.aliveAsOf = now, max(s.aliveAsOf, sentAt)
 }
 
-// assessResult updates a server's health and its limit of open sends from one result.
+// assessResult updates what the gateway knows of a server from the result of one send:
+//   - An answer of any kind shows that the server runs. A connection that fails at once may show that connections are
+//     scarce.
+//   - An ack resets the length of the server's backoff. Troubles start a backoff and lengthen it, see backOff.
+//   - Acks, refusals of a full server and timeouts change the limit of open sends and the congestion level.
 func (g *Gateway) assessResult(now time.Duration, s *server, o *op, result Result, took time.Duration) {
 	slow := took > o.opType.Target/queueingDivisor
 	switch result {
@@ -728,7 +745,7 @@
 		g.markAlive(now, s, o.sentAt)
 	case Reset: // a bad network path or a dead process, not a lack of connections
 		g.lastResetAt, g.connShortageEnd = now, LongPast
-	case NoConnection: // immediate, without a recent reset: connections are scarce, so idle ones are closed
+	case NoConnection: // if it came at once and without a recent reset, connections are scarce, so idle ones are closed
 		if took < g.shortWait && now-g.lastResetAt > connShortageWaits*g.shortWait {
 			g.connShortageEnd = now + connShortageWaits*g.shortWait
 		}
@@ -745,19 +762,23 @@
 	case result == ServerError && o.firstErrorFrom == nil:
 		o.firstErrorFrom = s // the fault is the server's or the op's; another server's answer will tell which
 	case result == ServerFull:
-		g.backOff(now, s, NoTrouble, false) // a full server has much to do, which is not a trouble to report
+		g.backOff(now, s, NoTrouble, false) // a full server is busy, which is no trouble to report
 	case result == NoConnection, result == Reset:
-		if result == NoConnection && s.backoff > 0 && o.sentAt >= s.aliveAsOf { // a reset may concern the connection alone
+		// A reset may concern the connection alone, so it does not count here.
+		if result == NoConnection && s.backoff > 0 && o.sentAt >= s.aliveAsOf {
 			g.markLost(now, s)
 		}
 		g.backOff(now, s, Unreachable, false)
 	}
+	// Only acks, full servers and timeouts show how much a server can take. A send that timed out although a later one
+	// was answered may have been lost rather than late, so it shows nothing. Nor does a result that arrives just when a
+	// stall of the gateway is noticed, as it is not known how late the answer came.
 	noEvidence := result != TimedOut || o.sentAt < s.aliveAsOf
-	// A send that timed out although a later one was answered may have been lost rather than late. After a stall of the
-	// gateway nobody knows how late an answer came.
 	if result != Acked && result != ServerFull && noEvidence || now == g.stallNoticedAt {
 		return
 	}
+	// An ack that shows queueing reduces the limit, but to no less than 1 and at most once within the time of an
+	// answer. An ack that shows none raises a limit of 1 or more.
 	if result == Acked {
 		o.opType.answerTimes.add(took, o.opType.Target)
 		s.ackedWork += float64(o.opType.meanAnswerTime())
@@ -767,8 +788,11 @@
 			s.limit += 1 / (s.limit * g.gatewayCount) // all gateways together allow about one more open send per round
 		}
 	}
-	// The server's own limit is reduced first. Only an answer that finds it at 1 raises the congestion level, so that one
-	// bad server does not count for all of its kind.
+	// A late answer raises the congestion level of the server's kind of machine only if the server's own limit is
+	// exactly 1. A greater limit can still be reduced, and one below 1 was reduced by an earlier late answer, so that
+	// one bad server does not count for all of its kind. A limit below 1 is the share of ops that may be sent to the
+	// server. Each late answer reduces it further and, once it is below the square of limitDecrease, is reported as a
+	// trouble unless the server was full. Timely answers bring the limit back to 1.
 	if late := took > o.opType.Target/2 || result == ServerFull; late && s.limit <= 1 {
 		if s.limit == 1 {
 			*g.congestion(s) = min(*g.congestion(s)+1, maxCongestion)
@@ -932,7 +956,7 @@
 	}
 }
 
-// updateServer takes in what the list says of one server.
+// updateServer updates a server from its entry in the list. The first entry of a server creates it.
 func (g *Gateway) updateServer(now time.Duration, l *Listed) {
 	s := g.servers[l.ID]
 	if s == nil {
@@ -940,6 +964,8 @@
 			g.groups[l.Group] = &group{}
 			g.groupOrder = append(g.groupOrder, g.groups[l.Group])
 		}
+		// listedStart differs from the listed start, so that a new server is handled like a restarted one below. The
+		// credit is random and not above zero, so that gateways do not all send their first reads to the same server.
 		s = &server{id: l.ID, group: g.groups[l.Group], listedStart: l.Started - 1, position: LongPast, roleAsOf: LongPast,
 			lastHeardAt: LongPast, aliveAsOf: LongPast, allowanceUpdatedAt: LongPast,
 			credit: g.random() * (1/g.gatewayCount - 1)}
@@ -956,8 +982,8 @@
 	}
 	s.state, s.machineKind, s.weight = l.State, l.Kind, cmp.Or(float64(l.Weight), 1)
 	if restarted || s.state != Ready {
-		// Sends that have not begun were decided on before this was known. Withdrawing them keeps rule 3, nothing new to a
-		// draining or gone server, and rule 4, no more to a cold server than its multiple.
+		// Sends that have not begun were decided on before this was known. They are withdrawn to keep rules 3 (nothing
+		// new to a draining or gone server) and 4 (no more work to a cold server than its multiple).
 		g.host.Withdraw(s.id)
 		if s.group.primary == s {
 			s.group.primary = nil
--- a/choice/host.go
+++ b/choice/host.go
@@ -10,9 +10,13 @@
 // session reads, those within the bound for bounded reads, all of them for the rest.
 //
 // If no replica is fresh enough for a session read, the read is held for up to a quarter of its latency target and sent
-// to the first replica that becomes fresh enough. After that time it goes to the primary. If session reads do not
-// carry the age of the session's last write, no replica is known to be fresh enough. A bounded read is held for a
-// shorter time. If servers check reads themselves, the most advanced replica is tried once before the wait.
+// to the first replica that becomes fresh enough. After that time replicas still come first, but the primary takes the
+// read if none of them can. If session reads do not carry the age of the session's last write, no replica is known to
+// be fresh enough. A bounded read is held for a shorter time. If servers check reads themselves, the most advanced
+// replica is tried, and the read is held only after a server has declined it or while no replica has room.
+//
+// A held read is not sent at the moment at which a report brings a new position. Held ops are looked at again at each
+// timer event and when a send to their group or a probe of it ends.
 //
 // An op for which no server has room is held too. It is given up, with a busy reply or an error, when sending it could
 // no longer be useful or is no longer allowed.
@@ -31,7 +35,8 @@
 // Host is what a Gateway acts through. Every call takes effect at the time of the event being handled. Times are
 // durations since the gateway's start.
 type Host interface {
-	// Send sends an op to a server. The send may wait for a connection. It ends as NotSent if it has not begun by beginBy.
+	// Send sends an op to a server. The send may wait for a connection. It ends as NotSent if it has not begun by
+	// beginBy.
 	Send(op, server uint32, beginBy time.Duration)
 	// Withdraw takes back all sends to a server that have not begun. They end as NotSent.
 	Withdraw(server uint32)
@@ -163,7 +168,7 @@
 // LongPast is a time before all events. It also stands for an unknown position.
 const LongPast = time.Duration(-1 << 62)
 
-// ListScope is what a call of Gateway.List hands over.
+// ListScope says which entries of the server list a call of Gateway.List passes.
 type ListScope uint8
 
 // The scopes of a list.
@@ -171,7 +176,7 @@
 	ListCached  ListScope = iota // the full list that the host had stored before its start
 	ListFull                     // the full list
 	ListChanges                  // the entries that have changed
-	ListFailed                   // nothing: the list could not be had
+	ListFailed                   // none: the request for the list failed
 )
 
 // Role is what a server says it is.
--- a/cmd/gorsewell/commands_test.go
+++ b/cmd/gorsewell/commands_test.go
@@ -25,7 +25,8 @@
 	}{
 		{"version", 0, "gorsewell " + version},
 		{"check " + good, 0, "good.yaml: ok"},
-		{"check " + bad, 2, "bad.yaml:1: log.level: expected debug, info, warn or error, found \"loud\"\n" + bad + ":2: gosip: unknown key; did you mean gossip?"},
+		{"check " + bad, 2, "bad.yaml:1: log.level: expected debug, info, warn or error, found \"loud\"\n" +
+			bad + ":2: gosip: unknown key; did you mean gossip?"},
 		{"check", 2, "accepts 1 arg(s)"},
 		{"check " + filepath.Join(dir, "none"), 1, "no such file"},
 		{"run --config " + bad, 2, "bad.yaml:1: log.level"},
--- a/cmd/gorsewell/endings_test.go
+++ b/cmd/gorsewell/endings_test.go
@@ -48,9 +48,9 @@
 	return l.Addr().String()
 }
 
-// Idle, silent and half-open clients use up all connections while discovery is down and connections to servers are opened.
-// Clients that send ops must still be answered, those with an open op must keep their connection, and the gateway must
-// reach discovery as soon as it is up.
+// Idle, silent and half-open clients use up all connections while discovery is down and connections to servers are
+// opened. Clients that send ops must still be answered, those with an open op must keep their connection, and the
+// gateway must reach discovery as soon as it is up.
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	const sockets = 96
 	arrived, release, requests := make(chan struct{}, 64), make(chan struct{}), make(chan struct{}, 64)
@@ -150,7 +150,9 @@
 	for n := range 30 {
 		gateways.Go(func() {
 			start := time.Now()
-			_, addr, _, _ := startGatewayWith(t, func(role, _ string) ([]byte, bool) { return standin.Row("v", role, 1), true }, func(config string) string {
+			_, addr, _, _ := startGatewayWith(t, func(role, _ string) ([]byte, bool) {
+				return standin.Row("v", role, 1), true
+			}, func(config string) string {
 				config = replaceField(t, config, "discovery", []string{silent.Addr().String(), unusedAddress(t)}[n%2])
 				if n%3 == 0 {
 					config = replaceField(t, config, "known", map[string]any{})
--- a/cmd/gorsewell/keys.go
+++ b/cmd/gorsewell/keys.go
@@ -13,7 +13,7 @@
 	"gorsewell/internal/gossip/keys"
 )
 
-// keysCommand returns the command that creates and shows keys and certificates of instances.
+// keysCommand returns the command whose sub-commands create, show and rotate keys and certificates of instances.
 func keysCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "keys",
@@ -43,9 +43,9 @@
 			} else if err != nil {
 				return err
 			}
-			private, public, err := keys.WriteAuthority(out, a)
+			privatePath, publicPath, err := keys.WriteAuthority(out, a)
 			if err == nil {
-				fmt.Fprintf(c.OutOrStdout(), "%s\n%s\n", private, public)
+				fmt.Fprintf(c.OutOrStdout(), "%s\n%s\n", privatePath, publicPath)
 			}
 			return err
 		},
@@ -144,14 +144,19 @@
 			for i, f := range files {
 				switch out := c.OutOrStdout(); {
 				case f.Authority != nil && f.Authority.Private != nil:
-					fmt.Fprintf(out, "%s: authority %s, private, id %s\n", args[i], f.Authority.Name, keys.IDText(keys.ID(f.Authority.Public)))
+					fmt.Fprintf(out, "%s: authority %s, private, id %s\n", args[i], f.Authority.Name,
+						keys.IDText(keys.ID(f.Authority.Public)))
 				case f.Authority != nil:
-					fmt.Fprintf(out, "%s: authority %s, id %s\n", args[i], f.Authority.Name, keys.IDText(keys.ID(f.Authority.Public)))
+					fmt.Fprintf(out, "%s: authority %s, id %s\n", args[i], f.Authority.Name,
+						keys.IDText(keys.ID(f.Authority.Public)))
 				case f.Private != nil:
-					fmt.Fprintf(out, "%s: private key, id %s\n", args[i], keys.IDText(keys.ID(f.Private.Public().(ed25519.PublicKey))))
+					fmt.Fprintf(out, "%s: private key, id %s\n", args[i],
+						keys.IDText(keys.ID(f.Private.Public().(ed25519.PublicKey))))
 				default:
-					fmt.Fprintf(out, "%s: certificate of %s, id %s, until %s, by %x%s\n", args[i], f.Certificate.Name, keys.IDText(f.Certificate.KeyID()),
-						time.Unix(f.Certificate.NotAfter, 0).UTC().Format(time.RFC3339), f.Certificate.Authority, verdict(ring, f.Certificate))
+					fmt.Fprintf(out, "%s: certificate of %s, id %s, until %s, by %x%s\n",
+						args[i], f.Certificate.Name, keys.IDText(f.Certificate.KeyID()),
+						time.Unix(f.Certificate.NotAfter, 0).UTC().Format(time.RFC3339), f.Certificate.Authority,
+						verdict(ring, f.Certificate))
 				}
 			}
 			return nil
@@ -159,7 +164,8 @@
 	}
 }
 
-// verdict returns the end of the line about a certificate. Without authorities only the expiry is checked.
+// verdict returns the end of the line about a certificate, which says whether the certificate is accepted. If ring has
+// no authorities, only the expiry is checked.
 func verdict(ring *keys.Keyring, cert *keys.Certificate) string {
 	if len(ring.Authorities) == 0 {
 		if time.Now().Unix() > cert.NotAfter {
--- a/cmd/gorsewell/main.go
+++ b/cmd/gorsewell/main.go
@@ -79,7 +79,8 @@
 		RunE:    start,
 	}
 	for _, c := range []*cobra.Command{root, runCommand} {
-		c.Flags().StringVar(&path, "config", "", "YAML file with the gateway's own settings; if empty, the value of "+settingsVariable+", if any")
+		c.Flags().StringVar(&path, "config", "",
+			"YAML file with the gateway's own settings; if empty, the value of "+settingsVariable+", if any")
 	}
 	root.AddCommand(runCommand, checkCommand(), keysCommand(), versionCommand())
 	return root
--- a/cmd/gorsewell/main_test.go
+++ b/cmd/gorsewell/main_test.go
@@ -36,19 +36,23 @@
 // lookupQuery is a read; the format's argument is the op's id.
 const lookupQuery = "SELECT data FROM facts WHERE code = 'k' /* id=%d,c=lookup,d=2500,cluster=0 */"
 
-// startGateway starts a gateway process with a group of servers and waits until it accepts clients. It returns the process,
-// the gateway's address, its standard error and the path of its configuration. The process is killed when the test ends.
-func startGateway(t *testing.T, answer func(role, query string) ([]byte, bool), env ...string) (*exec.Cmd, string, *strings.Builder, string) {
+// startGateway starts a gateway process with a group of servers and waits until it accepts clients. It returns the
+// process, the gateway's address, its standard error and the path of its configuration. The process is killed when the
+// test ends.
+func startGateway(t *testing.T, answer func(role, query string) ([]byte, bool), env ...string) (
+	*exec.Cmd, string, *strings.Builder, string) {
 	t.Helper()
 	return startGatewayWith(t, answer, func(string) string { return "" }, env...)
 }
 
-// startGatewayWith is like startGateway, but changes the gateway's configuration with a function. If the function returns
-// "", the configuration is that of the group.
-func startGatewayWith(t *testing.T, answer func(role, query string) ([]byte, bool), change func(config string) string, env ...string) (*exec.Cmd,
-	string, *strings.Builder, string) {
+// startGatewayWith is like startGateway, but changes the gateway's configuration with a function. If the function
+// returns "", the configuration is that of the group.
+func startGatewayWith(t *testing.T, answer func(role, query string) ([]byte, bool),
+	change func(config string) string, env ...string) (*exec.Cmd, string, *strings.Builder, string) {
 	t.Helper()
-	n := addressCount.Add(1) // each gateway has its own address, as a free port could be taken by a client before it listens
+	// Each gateway has its own address, as a client's connection could take a free port before the gateway listens on
+	// it.
+	n := addressCount.Add(1)
 	addr := fmt.Sprintf("127.77.%d.%d:5432", n>>8, n&0xff)
 	group, err := standin.Start(addr, answer)
 	if err != nil {
@@ -126,13 +130,14 @@
 	}
 	log := out.String()
 	if !strings.Contains(log, "event=counters taken=") || !strings.Contains(log, "event=stopped taken=5 acked=5 ") ||
-		!strings.Contains(log, " held=0 ") || !strings.Contains(log, " server_open=0 ") || !strings.Contains(log, "assertions_broken=0") {
+		!strings.Contains(log, " held=0 ") || !strings.Contains(log, " server_open=0 ") ||
+		!strings.Contains(log, "assertions_broken=0") {
 		t.Error(log)
 	}
 }
 
-// LB_DISCOVERY names the old discovery service during the whole test. Each reload ends before the next SIGHUP, which the
-// counts in the log confirm.
+// LB_DISCOVERY names the old discovery service during the whole test. Each reload ends before the next SIGHUP, which
+// the counts in the log confirm.
 func TestSIGHUPMovesToDiscoveryOfNewFile(t *testing.T) {
 	requests := make(chan string, 16)
 	startDiscovery := func(name string) string {
@@ -159,7 +164,8 @@
 		t.Fatal(err)
 	}
 	moved := strings.Replace(string(good), file.Discovery, newAddr, 1)
-	for _, text := range []string{"", moved[:len(moved)/2], strings.Replace(moved, `"round":5000000`, `"round":"soon"`, 1),
+	for _, text := range []string{"", moved[:len(moved)/2],
+		strings.Replace(moved, `"round":5000000`, `"round":"soon"`, 1),
 		strings.Replace(moved, newAddr, "nowhere", 1), moved, moved, moved} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -233,12 +239,15 @@
 			opTypes[1].(map[string]any)["name"] = opTypes[0].(map[string]any)["name"]
 		}),
 		"limits not an object": edited(func(m map[string]any) { m["limits"] = "none" }),
-		"bad server":           edited(func(m map[string]any) { m["known"] = map[string]any{"servers": []any{map[string]any{"id": "s-1"}}} }),
+		"bad server": edited(func(m map[string]any) {
+			m["known"] = map[string]any{"servers": []any{map[string]any{"id": "s-1"}}}
+		}),
 	} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), runAsGateway+"=1", "LB_CONFIG="+config)
 		out, err := cmd.CombinedOutput()
-		if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 || !strings.HasPrefix(string(out), "gorsewell: ") {
+		if cmd.ProcessState.ExitCode() != 1 || strings.Count(string(out), "\n") != 1 ||
+			!strings.HasPrefix(string(out), "gorsewell: ") {
 			t.Errorf("%s: got %v and output %q, want exit code 1 and one line of output", name, err, out)
 		}
 	}
--- a/cmd/gorsewell/run.go
+++ b/cmd/gorsewell/run.go
@@ -30,8 +30,8 @@
 	"gorsewell/internal/serverside"
 )
 
-// platformConfig is the platform's configuration of a gateway, the JSON file at LB_CONFIG. Fields without a tag are matched
-// by their names.
+// platformConfig is the platform's configuration of a gateway, the JSON file at LB_CONFIG. Fields without a tag are
+// matched by their names.
 type platformConfig struct {
 	Name      string
 	Listen    string // host:port for clients
@@ -40,7 +40,7 @@
 	Limits    struct {
 		Cores    float64
 		MemoryMB int64 `json:"memory_mb"`
-		Sockets  int
+		Sockets  int   // descriptors that the gateway may use; if 0 or less, 1024
 	}
 	Known      discovery.List  // the server list that was known before the start
 	Deployment json.RawMessage `json:"settings"`
@@ -58,22 +58,24 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	g := &platformConfig{}
-	if err := json.Unmarshal(text, g); err != nil {
+	platform := &platformConfig{}
+	if err := json.Unmarshal(text, platform); err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	for name, field := range map[string]*string{"LB_NAME": &g.Name, "LB_LISTEN": &g.Listen, "LB_DISCOVERY": &g.Discovery} {
+	for name, field := range map[string]*string{"LB_NAME": &platform.Name, "LB_LISTEN": &platform.Listen,
+		"LB_DISCOVERY": &platform.Discovery} {
 		if v := os.Getenv(name); v != "" && (starting || *field == "" && name != "LB_DISCOVERY") {
 			*field = v
 		}
 		if *field == "" {
-			return nil, nil, fmt.Errorf("%s is not set", name)
+			return nil, nil, fmt.Errorf("expected a value for %s from the environment or the platform's file, found none",
+				name)
 		}
 	}
-	if _, _, err := net.SplitHostPort(g.Discovery); err != nil {
+	if _, _, err := net.SplitHostPort(platform.Discovery); err != nil {
 		return nil, nil, fmt.Errorf("discovery: %w", err)
 	}
-	values, err := deployment.FromJSON(g.Deployment)
+	values, err := deployment.FromJSON(platform.Deployment)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -81,8 +83,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if settings.Seed, err = strconv.ParseUint(g.Seed, 16, 64); err != nil {
-		return nil, nil, fmt.Errorf("seed: expected a hexadecimal number of at most 64 bits, found %q", g.Seed)
+	if settings.Seed, err = strconv.ParseUint(platform.Seed, 16, 64); err != nil {
+		return nil, nil, fmt.Errorf("seed: expected a hexadecimal number of at most 64 bits, found %q", platform.Seed)
 	}
 	if len(settings.OpTypes) == 0 {
 		return nil, nil, errors.New("settings: expected at least one op type, found none")
@@ -90,15 +92,16 @@
 	// Discovery over HTTP sends lists only on request, even if the deployment's settings say that they are pushed.
 	settings.AskWithin = discovery.AskWithin(settings)
 	settings.ListOnRequest = true
-	if _, _, err := discovery.NewNames(exchange.StartClock(), settings).Convert(&g.Known); err != nil {
+	if _, _, err := discovery.NewNames(exchange.StartClock(), settings).Convert(&platform.Known); err != nil {
 		return nil, nil, fmt.Errorf("known: %w", err)
 	}
-	return g, settings, nil
+	return platform, settings, nil
 }
 
-// reloadOnSignal reads the platform's configuration again at each SIGHUP and moves to the discovery address in it. It also
-// reads the gossip's keys again. Other changes of either file take effect only after a restart.
-func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, addr string, lists *discovery.Client, settingsPath string, gossip *carrier.Carrier) error {
+// reloadOnSignal reads the platform's configuration again at each SIGHUP and moves to the discovery address in it. It
+// also reads the gossip's keys again. Other changes of either file take effect only after a restart.
+func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, addr string, lists *discovery.Client,
+	settingsPath string, gossip *carrier.Carrier) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -112,14 +115,14 @@
 				slog.Info("rekeyed")
 			}
 		}
-		g, _, err := readPlatformConfig(false)
+		platform, _, err := readPlatformConfig(false)
 		switch {
 		case err != nil:
 			slog.Error("reload_failed", "error", err)
-		case g.Discovery == addr:
+		case platform.Discovery == addr:
 			slog.Info("reloaded", "discovery", addr)
 		default:
-			addr = g.Discovery
+			addr = platform.Discovery
 			lists.Move(addr)
 		}
 	}
@@ -140,7 +143,8 @@
 }
 
 // newGossip opens the gossip's sockets and connects the gossip to the dispatcher. It returns nil if gossip is disabled.
-func newGossip(settings *config.Settings, name string, clock exchange.Clock, dispatcher *dispatch.Dispatch, names *discovery.Names) (*carrier.Carrier, error) {
+func newGossip(settings *config.Settings, name string, clock exchange.Clock, dispatcher *dispatch.Dispatch,
+	names *discovery.Names) (*carrier.Carrier, error) {
 	s := &settings.Gossip
 	if !s.Enabled {
 		return nil, nil
@@ -158,15 +162,16 @@
 	return gossip, nil
 }
 
-// messageMemoryDivisor limits one message to 1/64 of the memory limit. The limit depends on the memory because values may be
-// longer than the protocol's description says.
+// messageMemoryDivisor limits the size of one message to the memory limit divided by it. The limit depends on the
+// memory, as values may be longer than the protocol's description says.
 const messageMemoryDivisor = 64
 
-// reservedDescriptors is the number of descriptors kept for the standard streams, the listener, discovery, the runtime and
-// clients whose connections are being refused.
+// reservedDescriptors is the number of descriptors kept for the standard streams, the listener, discovery, the runtime
+// and clients whose connections are being refused.
 const reservedDescriptors = 32
 
-// minServerConns is the least number of connections to servers with which a gateway runs. Clients get about twice as many.
+// minServerConns is the least number of connections to servers with which a gateway runs. Clients get about twice as
+// many.
 const minServerConns = 4
 
 // gossipDescriptors is the number of descriptors that gossip uses in addition to its inbound streams.
@@ -175,20 +180,21 @@
 // run runs the gateway until SIGTERM or SIGINT and then stops it as planned.
 func run(settingsPath string, settings *config.Settings) error {
 	logTo(os.Stderr, settings.Log.Level.Level)
-	// SIGHUP is handled until the process ends, so that one that arrives during a planned stop does not kill the process.
+	// SIGHUP is caught until the process ends, so that one that arrives during a planned stop does not kill the
+	// process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	g, deployed, err := readPlatformConfig(true)
+	platform, deployed, err := readPlatformConfig(true)
 	if err != nil {
 		return err
 	}
-	deployed.MaxMessageBytes = int(g.Limits.MemoryMB) << 20 / messageMemoryDivisor
-	runtime.GOMAXPROCS(max(1, int(g.Limits.Cores)))
-	if g.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(g.Limits.MemoryMB << 20 * 3 / 4)
+	deployed.MaxMessageBytes = int(platform.Limits.MemoryMB) << 20 / messageMemoryDivisor
+	runtime.GOMAXPROCS(max(1, int(platform.Limits.Cores)))
+	if platform.Limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(platform.Limits.MemoryMB << 20 * 3 / 4)
 		debug.SetGCPercent(400)
 	}
-	sockets := g.Limits.Sockets
+	sockets := platform.Limits.Sockets
 	if sockets <= 0 {
 		sockets = 1024
 	}
@@ -197,22 +203,23 @@
 	}
 	serverConns := (sockets - reservedDescriptors) / 3
 	if serverConns < minServerConns {
-		return fmt.Errorf("limits.sockets: %d leaves only %d descriptors for servers and clients", g.Limits.Sockets, sockets-reservedDescriptors)
+		return fmt.Errorf("limits.sockets: %d leaves only %d descriptors for servers and clients",
+			platform.Limits.Sockets, sockets-reservedDescriptors)
 	}
 	clock, counts := exchange.StartClock(), &counters.Set{}
 	names := discovery.NewNames(clock, deployed)
-	known, addrs, err := names.Convert(&g.Known)
+	known, addrs, err := names.Convert(&platform.Known)
 	if err != nil {
 		return err
 	}
-	addr, err := net.ResolveTCPAddr("tcp", g.Listen)
+	addr, err := net.ResolveTCPAddr("tcp", platform.Listen)
 	if err != nil {
 		return err
 	}
-	// SIGTERM is handled before clients can connect, so that ops that have arrived before it are answered.
+	// SIGTERM is caught from before clients can connect, so that ops that arrive before it are answered.
 	stopCtx, stopNotify := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stopNotify()
-	l, err := net.ListenTCP("tcp", addr)
+	listener, err := net.ListenTCP("tcp", addr)
 	if err != nil {
 		return err
 	}
@@ -220,26 +227,26 @@
 	defer cancelWork()
 
 	dispatcher := dispatch.New(clock, counts)
-	gossip, err := newGossip(settings, g.Name, clock, dispatcher, names)
+	gossip, err := newGossip(settings, platform.Name, clock, dispatcher, names)
 	if err != nil {
-		return errors.Join(err, l.Close())
+		return errors.Join(err, listener.Close())
 	}
 	pool := serverside.New(workCtx, clock, dispatcher, counts, deployed, serverConns)
 	acceptor := clientside.New(clock, dispatcher, counts, deployed, sockets-reservedDescriptors-serverConns)
-	lists := discovery.New(g.Discovery, g.Known.Version, names, deployed, dispatcher, counts)
+	lists := discovery.New(platform.Discovery, platform.Known.Version, names, deployed, dispatcher, counts)
 	dispatcher.Start(pool, lists, &deployed.Deployment, known, addrs)
-	slog.Info("started", "name", g.Name, "listen", g.Listen)
+	slog.Info("started", "name", platform.Name, "listen", platform.Listen)
 
 	var group errgroup.Group
 	group.Go(func() error { return dispatcher.Run(workCtx) })
 	group.Go(func() error { return lists.Run(workCtx) })
 	group.Go(pool.Wait)
-	group.Go(func() error { return reloadOnSignal(workCtx, hangups, g.Discovery, lists, settingsPath, gossip) })
+	group.Go(func() error { return reloadOnSignal(workCtx, hangups, platform.Discovery, lists, settingsPath, gossip) })
 	group.Go(func() error { return logCounters(workCtx, counts, gossip) })
 	if gossip != nil {
 		group.Go(func() error { return gossip.Run(workCtx) })
 	}
-	err = acceptor.Serve(stopCtx, l)
+	err = acceptor.Serve(stopCtx, listener)
 	cancelWork()
 	err = errors.Join(err, group.Wait())
 	if gossip != nil {
--- a/cmd/gorsewellctl/experiment.go
+++ b/cmd/gorsewellctl/experiment.go
@@ -41,7 +41,9 @@
 				return err
 			}
 			if isTerminal(os.Stderr) {
-				o.Progress = func(done, total int) { fmt.Fprintf(os.Stderr, "\r%s: %d of %d runs ", e.Name, done, total) }
+				o.Progress = func(done, total int) {
+					fmt.Fprintf(os.Stderr, "\r%s: %d of %d runs ", e.Name, done, total)
+				}
 			}
 			r, err := e.Run(c.Context(), o)
 			if o.Progress != nil {
--- a/cmd/gorsewellctl/load.go
+++ b/cmd/gorsewellctl/load.go
@@ -40,14 +40,15 @@
 				}
 			}
 			if a.Decider.Policy != "" && a.Decider.Policy != "module" {
-				return usageError{fmt.Errorf("arm %s has policy %q; over sockets only module is supported", a.Name, a.Decider.Policy)}
+				return usageError{fmt.Errorf("arm %s has policy %q; over sockets only module is supported",
+					a.Name, a.Decider.Policy)}
 			}
 			if _, err := os.Stat(program); err != nil {
 				return usageError{fmt.Errorf("--program: %w", err)}
 			}
 			slog.SetLogLoggerLevel(slog.LevelError) // hides the log lines of gossip instances in this process
-			r, err := loopback.Run(c.Context(), loopback.Scenario{World: a.World, Faults: a.Faults, Gossip: a.Decider.Gossip, Seed: seed, Program: program,
-				WarmUp: warm, LogDir: keep})
+			r, err := loopback.Run(c.Context(), loopback.Scenario{World: a.World, Faults: a.Faults,
+				Gossip: a.Decider.Gossip, Seed: seed, Program: program, WarmUp: warm, LogDir: keep})
 			if err != nil {
 				return err
 			}
@@ -72,15 +73,15 @@
 	Arm           string                    `json:"arm"`
 	Seed          uint64                    `json:"seed"`
 	Service       float64                   `json:"service"`           // share of the value of all ops that was earned
-	Asked         float64                   `json:"asked"`             // ops
+	Asked         float64                   `json:"asked"`             // number of ops
 	Broken        [5]int64                  `json:"rules_broken"`      // violations of each rule of package choice
-	Busy          int64                     `json:"busy"`              // busy replies
-	Errored       int64                     `json:"errored"`           // errors
+	Busy          int64                     `json:"busy"`              // number of busy replies
+	Errored       int64                     `json:"errored"`           // number of final errors
 	Lost          int64                     `json:"lost_tries"`        // tries that ended without an answer
 	Unsent        int64                     `json:"unsent"`            // ops that this process could not send in time
 	Sends         int64                     `json:"sends"`             // ops' attempts at servers
-	LatenessP50ms float64                   `json:"lateness_p50_ms"`   // delay of sending an op after its intended time
-	LatenessP99ms float64                   `json:"lateness_p99_ms"`   // likewise
+	LatenessP50ms float64                   `json:"lateness_p50_ms"`   // median delay of sending an op after its intended time
+	LatenessP99ms float64                   `json:"lateness_p99_ms"`   // 99th percentile of that delay
 	Types         map[string]typeSummary    `json:"types"`             // by the name of the op type
 	Gossip        map[string]counterSummary `json:"gossip,omitempty"`  // by the name of the counter
 	Stories       []string                  `json:"stories,omitempty"` // descriptions of violations of the rules
@@ -89,8 +90,8 @@
 // typeSummary is the result for one op type.
 type typeSummary struct {
 	Service float64 `json:"service"` // share of the value of its ops that was earned
-	P50ms   float64 `json:"p50_ms"`  // of the latency
-	P99ms   float64 `json:"p99_ms"`
+	P50ms   float64 `json:"p50_ms"`  // median latency
+	P99ms   float64 `json:"p99_ms"`  // 99th percentile of the latency
 }
 
 // counterSummary is the sum and the maximum of a counter over all instances that logged it.
@@ -101,15 +102,18 @@
 
 // summarize summarizes the result of a run.
 func summarize(arm string, seed uint64, r *loopback.Result) loadSummary {
-	d := loadSummary{Arm: arm, Seed: seed, Service: r.Service(), Asked: r.Asked, Broken: r.Broken, Busy: r.Busy, Errored: r.Errored, Lost: r.Lost, Unsent: r.Unsent,
-		Sends: r.Sends, LatenessP50ms: float64(r.Lateness.ValueAtQuantile(50)) / 1000, LatenessP99ms: float64(r.Lateness.ValueAtQuantile(99)) / 1000,
-		Types: map[string]typeSummary{}, Stories: r.Stories, Gossip: map[string]counterSummary{}}
+	d := loadSummary{Arm: arm, Seed: seed, Service: r.Service(), Asked: r.Asked, Broken: r.Broken, Busy: r.Busy,
+		Errored: r.Errored, Lost: r.Lost, Unsent: r.Unsent, Sends: r.Sends,
+		LatenessP50ms: float64(r.Lateness.ValueAtQuantile(50)) / 1000,
+		LatenessP99ms: float64(r.Lateness.ValueAtQuantile(99)) / 1000,
+		Types:         map[string]typeSummary{}, Stories: r.Stories, Gossip: map[string]counterSummary{}}
 	for _, t := range r.Types {
 		service := 1.0
 		if t.Value > 0 {
 			service = t.Earned / t.Value
 		}
-		d.Types[t.Name] = typeSummary{service, float64(t.Latency.ValueAtQuantile(50)) / 1000, float64(t.Latency.ValueAtQuantile(99)) / 1000}
+		d.Types[t.Name] = typeSummary{service, float64(t.Latency.ValueAtQuantile(50)) / 1000,
+			float64(t.Latency.ValueAtQuantile(99)) / 1000}
 	}
 	for _, log := range r.CounterLogs {
 		for line := range strings.Lines(log) {
@@ -132,14 +136,19 @@
 // printSummary prints the result of a run as text.
 func printSummary(w io.Writer, arm string, seed uint64, r *loopback.Result) {
 	d := summarize(arm, seed, r)
-	fmt.Fprintf(w, "arm %s, seed %d: %.0f ops, service %.4f, rules broken %v\n", d.Arm, d.Seed, d.Asked, d.Service, d.Broken)
-	fmt.Fprintf(w, "busy replies %d, errors %d, tries without an answer %d, sends %d\n", d.Busy, d.Errored, d.Lost, d.Sends)
-	fmt.Fprintf(w, "this end asked %.1f ms late in the median, %.1f ms at most in 99 of 100; %d ops it could not ask\n", d.LatenessP50ms, d.LatenessP99ms, d.Unsent)
+	fmt.Fprintf(w, "arm %s, seed %d: %.0f ops, service %.4f, rules broken %v\n",
+		d.Arm, d.Seed, d.Asked, d.Service, d.Broken)
+	fmt.Fprintf(w, "busy replies %d, errors %d, tries without an answer %d, sends %d\n",
+		d.Busy, d.Errored, d.Lost, d.Sends)
+	fmt.Fprintf(w, "this end asked %.1f ms late in the median, %.1f ms at most in 99 of 100; %d ops it could not ask\n",
+		d.LatenessP50ms, d.LatenessP99ms, d.Unsent)
 	for _, t := range r.Types {
 		x := d.Types[t.Name]
-		fmt.Fprintf(w, "  %-12s asked %6d  service %.4f  median %6.1f ms  99 of 100 %7.1f ms\n", t.Name, t.Asked, x.Service, x.P50ms, x.P99ms)
+		fmt.Fprintf(w, "  %-12s asked %6d  service %.4f  median %6.1f ms  99 of 100 %7.1f ms\n",
+			t.Name, t.Asked, x.Service, x.P50ms, x.P99ms)
 	}
-	for _, name := range []string{"sent_bytes", "received", "died", "rumours_made", "rumours_taken", "contradicted", "borne_out"} {
+	for _, name := range []string{"sent_bytes", "received", "died", "rumours_made", "rumours_taken", "contradicted",
+		"borne_out"} {
 		if s, ok := d.Gossip[name]; ok {
 			fmt.Fprintf(w, "  gossip %-14s %10d in all, %8d at most\n", name, s.Sum, s.Max)
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -57,16 +57,16 @@
 type Gossip struct {
 	Enabled     bool     `yaml:"enabled"`
 	Cluster     string   `yaml:"cluster"`     // instances accept messages only from the same cluster
-	Listen      string   `yaml:"listen"`      // host:port for datagrams and streams
-	Advertise   string   `yaml:"advertise"`   // host:port at which others reach the instance; if empty, the address that they see
+	Listen      string   `yaml:"listen"`      // host:port for datagrams and streams; the host may be empty
+	Advertise   string   `yaml:"advertise"`   // host:port at which others reach the instance; if empty, as they see it
 	Seeds       []string `yaml:"seeds"`       // host:port of instances to contact first; may include the instance's own
 	Certificate string   `yaml:"certificate"` // file with the instance's certificate
 	Key         string   `yaml:"key"`         // file with the instance's private key
-	Authorities []string `yaml:"authorities"` // files of the authorities whose certificates are accepted; two during a rotation
+	Authorities []string `yaml:"authorities"` // files of the accepted authorities; two during a rotation
 
 	ProbeEvery   time.Duration `yaml:"probe_every"`   // period of probes of members
 	ProbeTimeout time.Duration `yaml:"probe_timeout"` // after which an unanswered probe is tried through other members
-	SuspectFor   time.Duration `yaml:"suspect_for"`   // how long a suspicion lasts that others share; otherwise twice as long
+	SuspectFor   time.Duration `yaml:"suspect_for"`   // how long a suspicion lasts if others share it, else twice as long
 	TellEvery    time.Duration `yaml:"tell_every"`    // period of gossip rounds while there are updates to send
 	SyncEvery    time.Duration `yaml:"sync_every"`    // mean period of anti-entropy exchanges
 	RumourLife   time.Duration `yaml:"rumour_life"`   // age at which a rumour expires
@@ -74,13 +74,14 @@
 	Limits GossipLimits `yaml:"limits"`
 }
 
-// GossipLimits bounds the resources that gossip uses, and the share of them that one peer can use.
+// GossipLimits bounds the resources that gossip uses, and the share of them that one peer can use. Each field is an
+// upper bound.
 type GossipLimits struct {
 	Members            int           `yaml:"members"`              // members held, this instance included
 	Rumours            int           `yaml:"rumours"`              // rumours held
-	RumoursPerObserver int           `yaml:"rumours_per_observer"` // rumours held of one observer
+	RumoursPerObserver int           `yaml:"rumours_per_observer"` // rumours held from one observer
 	ObserversPerServer int           `yaml:"observers_per_server"` // observers whose rumours about one server are held
-	Datagram           yamlfile.Size `yaml:"datagram"`             // size of a datagram without the headers of IP and UDP
+	Datagram           yamlfile.Size `yaml:"datagram"`             // bytes of a datagram without IP and UDP headers
 	DatagramsPerTell   int           `yaml:"datagrams_per_tell"`   // members to which one gossip round sends
 	BytesPerSecond     yamlfile.Size `yaml:"bytes_per_second"`     // bytes sent
 	ReceivedPerSecond  int           `yaml:"received_per_second"`  // datagrams received
@@ -185,20 +186,22 @@
 	if !g.Enabled {
 		return
 	}
-	for key, value := range map[string]string{"cluster": g.Cluster, "listen": g.Listen, "certificate": g.Certificate, "key": g.Key} {
+	for key, value := range map[string]string{"cluster": g.Cluster, "listen": g.Listen, "certificate": g.Certificate,
+		"key": g.Key} {
 		if value == "" {
 			f.AddProblem("gossip."+key, "is required if gossip is enabled")
 		}
 	}
 	if len(g.Cluster) > 64 {
-		f.AddProblem("gossip.cluster", "is longer than 64 bytes")
+		f.AddProblem("gossip.cluster", "is longer than the maximum of 64 bytes")
 	}
 	if len(g.Authorities) == 0 {
 		f.AddProblem("gossip.authorities", "must name at least one authority if gossip is enabled")
 	}
 }
 
-// checkRange adds a problem if a value is outside its range. The problem names the bound.
+// checkRange adds a problem if a value is outside its range. The problem names the bound, as whoever corrects the value
+// has to know it.
 func checkRange[T int | time.Duration | yamlfile.Size](f *yamlfile.File, key string, v, minimum, maximum T) {
 	if v < minimum {
 		f.AddProblem(key, "%v is less than the minimum %v", v, minimum)
@@ -211,7 +214,8 @@
 // allowWildcard is set. It does not resolve host names.
 func checkAddress(f *yamlfile.File, key, v string, allowWildcard bool) {
 	host, port, err := net.SplitHostPort(v)
-	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 && !allowWildcard || n < 0 || n > 65535 || host == "" && !allowWildcard {
+	if n, portErr := strconv.Atoi(port); err != nil || portErr != nil || n < 1 && !allowWildcard || n < 0 ||
+		n > 65535 || host == "" && !allowWildcard {
 		f.AddProblem(key, "expected an address host:port, found %q", v)
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,7 +36,8 @@
 			if !f.Has(prefix + name) {
 				t.Errorf("%s is missing in the example", prefix+name)
 			}
-			if field := structType.FieldByIndex(index[name]).Type; field.Kind() == reflect.Struct && field != reflect.TypeFor[Level]() {
+			if field := structType.FieldByIndex(index[name]).Type; field.Kind() == reflect.Struct &&
+				field != reflect.TypeFor[Level]() {
 				walk(prefix+name+".", field)
 			}
 		}
@@ -60,11 +61,14 @@
     members: many
     datagram: 64GiB
 `))
-	want := []string{`f.yaml:2: log.level: expected debug, info, warn or error, found "loud"`, "f.yaml:3: gossip.cluster: is required",
-		"f.yaml:3: gossip.certificate: is required", "f.yaml:3: gossip.key: is required", "f.yaml:3: gossip.authorities: must name",
-		"f.yaml:5: gossip.listn: unknown key; did you mean listen?", `f.yaml:6: gossip.listen: expected an address host:port, found "nowhere"`,
+	want := []string{`f.yaml:2: log.level: expected debug, info, warn or error, found "loud"`,
+		"f.yaml:3: gossip.cluster: is required", "f.yaml:3: gossip.certificate: is required",
+		"f.yaml:3: gossip.key: is required", "f.yaml:3: gossip.authorities: must name",
+		"f.yaml:5: gossip.listn: unknown key; did you mean listen?",
+		`f.yaml:6: gossip.listen: expected an address host:port, found "nowhere"`,
 		`f.yaml:7: gossip.probe_every: expected a duration with its unit, such as 250ms, 1.5s or 2m, found "10"`,
-		"f.yaml:8: gossip.suspect_for: 10ms is less than the minimum 1s", `f.yaml:10: gossip.limits.members: must be a whole number, not "many"`,
+		"f.yaml:8: gossip.suspect_for: 10ms is less than the minimum 1s",
+		`f.yaml:10: gossip.limits.members: must be a whole number, not "many"`,
 		"f.yaml:11: gossip.limits.datagram: 68719476736 is more than the maximum 8192"}
 	var problems yamlfile.Problems
 	if !errors.As(err, &problems) || len(problems) != len(want) {
@@ -80,14 +84,16 @@
 func TestLoadResolvesPathsAgainstFolderOfFile(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "s.yaml")
-	if err := os.WriteFile(path, []byte("gossip: {enabled: true, cluster: c, key: k, certificate: /c, authorities: [a]}"), 0o600); err != nil {
+	if err := os.WriteFile(path,
+		[]byte("gossip: {enabled: true, cluster: c, key: k, certificate: /c, authorities: [a]}"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s, err := Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if g := s.Gossip; g.Key != filepath.Join(dir, "k") || g.Certificate != "/c" || g.Authorities[0] != filepath.Join(dir, "a") {
+	if g := s.Gossip; g.Key != filepath.Join(dir, "k") || g.Certificate != "/c" ||
+		g.Authorities[0] != filepath.Join(dir, "a") {
 		t.Errorf("got %+v, want relative paths joined to the folder of the file", g)
 	}
 	if _, err := Load(filepath.Join(dir, "none")); err == nil || errors.As(err, new(yamlfile.Problems)) {
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -22,7 +22,8 @@
 		names, index := yamlfile.Fields(structure)
 		for _, name := range names {
 			keys = append(keys, prefix+name)
-			if field := structure.FieldByIndex(index[name]).Type; field.Kind() == reflect.Struct && field != reflect.TypeFor[Level]() {
+			if field := structure.FieldByIndex(index[name]).Type; field.Kind() == reflect.Struct &&
+				field != reflect.TypeFor[Level]() {
 				walk(prefix+name+".", field)
 			}
 		}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -7,7 +7,7 @@
 //
 // Reports of others never decide on their own. An accusation makes this instance probe the accused member. A rumour
 // about a server is weighed by how often its observer has been confirmed here; the total goes to the decision module,
-// which may probe the server sooner because of it but must not act on it alone. docs/gossip.md gives the reasons.
+// which may probe the server sooner because of it but must not act on it alone.
 package gossip
 
 import (
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -345,6 +345,9 @@
 func (n *Node) handleAccusation(now time.Duration, c *Claim) {
 	n.counts.Accusations++
 	m, by := n.byName[c.Name], n.byName[c.By]
+	// An accusation is ignored if one of the two members is unknown here, is dead or has left, if it was made by
+	// another run or under another key of the accuser, if it is about the accuser itself or an older incarnation of the accused, if by the
+	// accuser's clock it was made too long ago or lies too far ahead, or if the accuser has accused the member already.
 	if m == nil || by == nil || by.run != c.Run || by.key != c.Key || by.state == dead || by.state == left || m == by ||
 		c.Incarnation < m.claim.Incarnation || m.state == dead || m.state == left || c.Clock > by.clock(now)+n.config.SuspectFor ||
 		by.clock(now)-c.Clock > 2*n.config.SuspectFor || m.isAccusedBy(c.By) {
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -107,7 +107,7 @@
 	if n.inactive && n.own.Kind == Left {
 		return items
 	}
-	own := d.Own
+	own := d.Own // the other's claim about itself
 	if own.Kind == Alive && own.By == own.Name && own.Name != n.config.Name &&
 		own.Addr.Addr().IsValid() && !own.Addr.Addr().IsUnspecified() {
 		n.handleClaim(now, &own, true)
@@ -115,7 +115,7 @@
 			n.heardFrom(now, m, own.Clock)
 		}
 	} else if own.Name == n.config.Name {
-		n.handleClaimAboutSelf(now, &own)
+		n.handleClaimAboutSelf(now, &own) // the other uses this instance's name
 	}
 	theirs, theirDead := fingerprintSet(d.Members), fingerprintSet(d.Dead)
 	room := n.answerBudget(now)
@@ -138,9 +138,9 @@
 		has := theirs[m.fingerprint()]
 		delete(theirs, m.fingerprint())
 		switch {
-		case m.name == own.Name:
+		case m.name == own.Name: // the member is the other itself, which has been handled above
 		case m.state == alive && theirDead[nameFingerprint(m.hash)]:
-			items.Reachable = append(items.Reachable, nameFingerprint(m.hash))
+			items.Reachable = append(items.Reachable, nameFingerprint(m.hash)) // the other considers the member dead
 		case m.state == dead && !theirDead[nameFingerprint(m.hash)] && has:
 			n.queueCheck(m) // the other is in contact with the member, or hasn't detected its failure yet: probe it
 		}
--- a/internal/simwire/instance.go
+++ b/internal/simwire/instance.go
@@ -13,7 +13,7 @@
 	conn          *conn
 	id            uint16
 	startClock    uint64        // simulator clock at the instance's start, in nanoseconds
-	positionEpoch time.Duration // time since the start at which positions in the log begin
+	positionEpoch time.Duration // time from which positions in the log count, since the instance's start
 	opTypeCount   int
 	reportNames   []string // names of the values in a load report
 	gateway       *choice.Gateway
@@ -38,7 +38,8 @@
 	}
 }
 
-// passReport passes the load report of a server to the gateway. It skips values with unknown names.
+// passReport passes the load report of a server to the gateway. A record has room for four values of a report. Values
+// with unknown names are skipped.
 func (in *instance) passReport(b []byte, server uint32) {
 	n := min(int(b[0]), len(in.reportNames), 4)
 	if n == 0 {
@@ -99,7 +100,8 @@
 	in.conn.actionTail = append(in.conn.actionTail, line...)
 }
 
-// Send implements choice.Host. In the simulator a send begins at once, so the time by which it has to begin has no effect.
+// Send implements choice.Host. In the simulator a send begins at once, so the time by which it has to begin has no
+// effect.
 func (in *instance) Send(op, server uint32, _ time.Duration) {
 	r := in.appendAction(actionSend)
 	bigEndian.PutUint32(r[3:], op)
@@ -144,7 +146,7 @@
 // WatchList implements choice.Host.
 func (in *instance) WatchList() { in.appendAction(actionWatchList)[3] = 1 }
 
-// Forget implements choice.Host. It does nothing, as nothing is kept of a server.
+// Forget implements choice.Host. It does nothing, as an instance keeps nothing of a server.
 func (in *instance) Forget(uint32) {}
 
 // Trouble implements choice.Host. It does nothing, as the simulator's gateways do not use gossip.
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -76,14 +76,15 @@
 	size, count := bigEndian.Uint32(head[0:]), bigEndian.Uint32(head[12:])
 	c.clock, batch = bigEndian.Uint64(head[4:]), bigEndian.Uint32(head[16:])
 	if size < headerSize {
-		return 0, fmt.Errorf("length %d is shorter than the header", size)
+		return 0, fmt.Errorf("length %d is shorter than the header of 20 bytes", size)
 	}
 	bodySize := int64(size) - headerSize
 	if int64(count)*eventSize > bodySize {
 		return 0, fmt.Errorf("%d records do not fit into %d bytes", count, bodySize)
 	}
 	c.frame.Reset()
-	// CopyN grows the buffer only as bytes arrive, so that a wrong length in the header cannot cause a large allocation.
+	// CopyN grows the buffer only as bytes arrive, so that a wrong length in the header cannot cause a large
+	// allocation.
 	if _, err := io.CopyN(&c.frame, c.input, bodySize); err != nil {
 		return 0, errors.New("input ends inside the frame")
 	}
@@ -122,7 +123,7 @@
 	return c.tail[offset : offset+length], nil
 }
 
-// Codes of events. eventPeer and eventFirst are ignored.
+// Codes of events. eventPeer and eventFirst, which the decision module has no use for, are ignored.
 const (
 	eventClientGone = iota
 	eventOp
@@ -144,7 +145,7 @@
 		return c.storeList(b)
 	}
 	if code > eventFirst {
-		return fmt.Errorf("unknown event code %d", code)
+		return fmt.Errorf("unknown event code %d; expected 0 to 10", code)
 	}
 	id := bigEndian.Uint16(b[1:])
 	if code == eventStart {
@@ -168,6 +169,8 @@
 			return fmt.Errorf("op type %d is unknown: the settings define %d", b[7], in.opTypeCount)
 		}
 		g.Op(now, bigEndian.Uint32(b[3:]), b[7], bigEndian.Uint64(b[12:]), in.sinceStart(bigEndian.Uint64(b[20:])),
+			// The group and the age of the session's last write, in milliseconds, are encoded as floats. Bit 1 of b[44]
+			// marks a retry.
 			uint16(float32At(b[36:])), milliseconds(float64(float32At(b[40:]))), b[44]&2 != 0)
 	case eventTimer:
 		g.Timer(now, bigEndian.Uint32(b[3:]))
@@ -227,7 +230,8 @@
 		return err
 	}
 	settings.Seed = bigEndian.Uint64(b[3:])
-	in := &instance{conn: c, id: id, startClock: c.clock, opTypeCount: len(settings.OpTypes), reportNames: settings.ReportNames}
+	in := &instance{conn: c, id: id, startClock: c.clock, opTypeCount: len(settings.OpTypes),
+		reportNames: settings.ReportNames}
 	if settings.PositionEpoch > 0 {
 		in.positionEpoch = in.sinceStart(settings.PositionEpoch)
 	}
@@ -241,7 +245,7 @@
 func (c *conn) passList(in *instance, b []byte) error {
 	scopes := [...]choice.ListScope{choice.ListCached, choice.ListFull, choice.ListFailed, choice.ListChanges}
 	if int(b[11]) >= len(scopes) {
-		return fmt.Errorf("unknown list scope %d", b[11])
+		return fmt.Errorf("unknown list scope %d; expected 0 to 3", b[11])
 	}
 	scope := scopes[b[11]]
 	c.listed = c.listed[:0]
@@ -259,7 +263,7 @@
 			case 3:
 				state = choice.Draining
 			default:
-				return fmt.Errorf("unknown server status %d", e[24])
+				return fmt.Errorf("unknown server status %d; expected 0, 1 or 3", e[24])
 			}
 			started := choice.LongPast
 			if clock := bigEndian.Uint64(e[5:]); clock != 0 {
@@ -310,5 +314,5 @@
 	case 2:
 		return choice.Declined, nil
 	}
-	return 0, fmt.Errorf("unknown outcome code %d", code)
+	return 0, fmt.Errorf("unknown outcome code %d; expected 0, 2, 5, 11, 104, 110, 111, 114 or 125", code)
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -74,7 +74,8 @@
 	if err := c.handleEvent(timer); err != nil {
 		t.Fatal(err)
 	}
-	if len(c.actionRecords) != actionSize || c.actionRecords[0] != actionBug || !strings.Contains(string(c.actionTail), "nil pointer") {
+	if len(c.actionRecords) != actionSize || c.actionRecords[0] != actionBug ||
+		!strings.Contains(string(c.actionTail), "nil pointer") {
 		t.Errorf("got records %x and text %q, want one bug action with the panic's text", c.actionRecords, c.actionTail)
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -24,7 +24,7 @@
 	// StartupReply is the reply to a client's startup message; if nil, the client is accepted.
 	StartupReply []byte
 	// Answer returns the bytes to write for a query, and whether the connection then stays open.
-	Answer func(query string) (bytes []byte, keepOpen bool)
+	Answer func(query string) (answer []byte, keepOpen bool)
 	// TrailingDelay is the delay before the part of an answer that follows its first ReadyForQuery.
 	TrailingDelay time.Duration
 }
@@ -140,9 +140,9 @@
 	return &Client{Conn: nc}, nc.SetDeadline(time.Now().Add(20 * time.Second))
 }
 
-// WriteBytes writes bytes unchanged.
-func (c *Client) WriteBytes(bytes []byte) error {
-	_, err := c.Write(bytes)
+// WriteBytes writes data without framing it as a message.
+func (c *Client) WriteBytes(data []byte) error {
+	_, err := c.Write(data)
 	return err
 }
 
@@ -154,8 +154,9 @@
 	return c.ReadAnswer()
 }
 
-// ReadAnswer reads messages up to ReadyForQuery or the end of the connection and returns a summary of them: the values of
-// rows, the code after C and the detail after D of errors, I for an empty query, and $ for the end of the connection.
+// ReadAnswer reads messages up to ReadyForQuery or the end of the connection and returns a summary of them. It contains
+// the value of each row, C and D followed by the code and the detail of each error, I for an empty query, and $ for the
+// end of the connection.
 func (c *Client) ReadAnswer() (summary string, err error) {
 	for {
 		m, ok, err := c.buffer.Next()
@@ -187,7 +188,7 @@
 	}
 }
 
-// errorFields returns the code and the detail of an ErrorResponse, each after the letter of its field.
+// errorFields returns the code and the detail of an ErrorResponse, each preceded by the letter of its field, C or D.
 func errorFields(body []byte) (summary string) {
 	for len(body) > 1 {
 		value, rest, err := pgwire.CutString(body[1:])
@@ -208,7 +209,7 @@
 	closers []io.Closer // listeners and the discovery service
 }
 
-// deploymentSettings are the settings of a deployment with two op types, a read and a write.
+// deploymentSettings are the settings of a deployment with two op types, a read and a write. Times are in nanoseconds.
 const deploymentSettings = `{"balancers":1,"round":5000000,"registry_mode":"on_request",
 "classes":[{"name":"lookup","effect":"retryable","target":2000000000,"give_up":3000000000,"worth":1},
 {"name":"save","effect":"dedup","dedup_scope":"cell","window":2000000000,"target":2000000000,"give_up":3000000000,"worth":2}],
@@ -235,7 +236,8 @@
 		}
 		d := &Database{Answer: func(query string) ([]byte, bool) { return answer(role, query) }}
 		go d.Serve(l)
-		servers = append(servers, fmt.Sprintf(`{"id":"s-%d","addr":%q,"state":"in_service","role":%q}`, i+1, l.Addr(), role))
+		servers = append(servers,
+			fmt.Sprintf(`{"id":"s-%d","addr":%q,"state":"in_service","role":%q}`, i+1, l.Addr(), role))
 	}
 	list := fmt.Sprintf(`{"version":1,"full":true,"servers":[%s]}`, strings.Join(servers, ","))
 	l, err := newListener()
@@ -268,8 +270,8 @@
 	}
 }
 
-// BreaksAssertion reports whether an assertion fails while f runs, both in debug builds, where it panics, and in others,
-// where it is counted.
+// BreaksAssertion reports whether an assertion fails while f runs, both in debug builds, where it panics, and in
+// others, where it is counted.
 func BreaksAssertion(f func()) (broke bool) {
 	before := invariant.Broken()
 	defer func() {
--- a/internal/yamlfile/yamlfile.go
+++ b/internal/yamlfile/yamlfile.go
@@ -1,9 +1,9 @@
-// Package yamlfile reads YAML files strictly into structs. It reports all problems of a file at once, each with its line
-// and key, so that a file can be corrected in one pass.
+// Package yamlfile reads YAML files strictly into structs. It reports all problems of a file at once, each with its
+// line and key, so that a file can be corrected in one pass.
 //
-// The tag yaml names a struct's fields; fields without it are not read. A field that the file does not contain keeps its
-// value, so defaults are set before reading. Durations are written with their unit (250ms, 1.5s); sizes may have one
-// (64KiB). Anchors, aliases, merge keys and tags are rejected, so that every value is written out where it applies.
+// The tag yaml names a struct's fields; fields without it are not read. A field that the file does not contain keeps
+// its value, so defaults are set before reading. Durations are written with their unit (250ms, 1.5s); sizes may have
+// one (64KiB). Anchors, aliases, merge keys and tags are rejected, so that every value is written out where it applies.
 package yamlfile
 
 import (
@@ -26,7 +26,7 @@
 
 // Limits on the input.
 const (
-	MaxFile     = 4 << 20 // size of a file in bytes
+	MaxFile     = 4 << 20 // bytes of a file
 	maxDepth    = 40      // levels of nesting
 	maxProblems = 100     // problems reported for one file
 )
@@ -63,12 +63,12 @@
 	return strings.Join(lines, "\n")
 }
 
-// Defaulter is implemented by a struct that is an element of a list or map, or the target of a pointer, and has defaults
-// other than zero. SetDefaults is called before its fields are read.
+// Defaulter is implemented by a struct that is an element of a list or map, or the target of a pointer, and has
+// defaults other than zero. SetDefaults is called before its fields are read.
 type Defaulter interface{ SetDefaults() }
 
-// File is a file that has been read. It keeps the line of each key, so that problems found in later checks can be
-// reported with their line.
+// File is a file that has been read. It keeps the line of each key, so that later checks can report problems with their
+// lines.
 type File struct {
 	name     string
 	keyLines map[string]int // by path of keys; "" is the whole file
@@ -86,7 +86,8 @@
 	if info, err := f.Stat(); err != nil {
 		return nil, err
 	} else if info.Size() > MaxFile {
-		return nil, Problems{{File: path, What: fmt.Sprintf("is %d bytes long; at most %d bytes are allowed", info.Size(), MaxFile)}}
+		return nil, Problems{{File: path,
+			What: fmt.Sprintf("is %d bytes long; at most %d bytes are allowed", info.Size(), MaxFile)}}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -119,7 +120,8 @@
 	for i, doc := range parsed.Docs {
 		if doc.Body == nil || doc.Body.Type() == ast.CommentType {
 			continue
-		} else if i > 0 && slices.ContainsFunc(parsed.Docs[:i], func(d *ast.DocumentNode) bool { return d.Body != nil }) {
+		} else if i > 0 &&
+			slices.ContainsFunc(parsed.Docs[:i], func(d *ast.DocumentNode) bool { return d.Body != nil }) {
 			f.add(lineOf(doc.Body), "", "found a second document; expected one document")
 			break
 		}
@@ -138,8 +140,8 @@
 	return parser.ParseBytes(text, 0, parser.AllowDuplicateMapKey())
 }
 
-// AddProblem adds a problem with the value of a key that was found by a check after reading. Its line is that of
-// File.Line.
+// AddProblem adds a problem that a check after reading found with the value of a key. The problem gets the line that
+// Line returns for the key.
 func (f *File) AddProblem(key, format string, args ...any) {
 	f.add(f.Line(key), key, format, args...)
 }
@@ -211,8 +213,8 @@
 // IsSet reports whether the file contains the part.
 func (r *Raw) IsSet() bool { return r.node != nil }
 
-// ReadInto reads the part into the value that target points to. Fields that the part does not contain keep their values.
-// Problems are added to those of the file.
+// ReadInto reads the part into the value that target points to. Fields that the part does not contain keep their
+// values. Problems are added to those of the file.
 func (r *Raw) ReadInto(target any) {
 	if r.node != nil {
 		r.file.readValue(r.key, r.node, reflect.ValueOf(target).Elem(), 0)
@@ -461,7 +463,7 @@
 	return float64(i), ok
 }
 
-// describe describes a node for a problem.
+// describe returns the kind of a node, or the start of its text if it is a scalar, for the text of a problem.
 func describe(n ast.Node) string {
 	switch n.(type) {
 	case *ast.MappingNode, *ast.MappingValueNode:
@@ -476,8 +478,8 @@
 	return strconv.Quote(text)
 }
 
-// suggestion returns the end of the problem about an unknown key. It names the most similar known key, or all known keys
-// if none is similar.
+// suggestion returns the end of the problem about an unknown key. It names the most similar known key, or all known
+// keys if none is similar.
 func suggestion(name string, known []string) string {
 	closest, minDistance := "", len(name)/2+1
 	for _, k := range known {
--- a/internal/yamlfile/yamlfile_test.go
+++ b/internal/yamlfile/yamlfile_test.go
@@ -29,8 +29,9 @@
 func TestReadValuesDefaultsAndUnits(t *testing.T) {
 	got := testSettings{Count: 7, Share: 2}
 	f := Read("f", []byte("# a comment\nshare: 1\non: true\nparts:\n  - {name: a, size: 2KiB}\n  - name: 12\n    wait: 1.5s\nby:\n  x: {wait: 2ms}\nmaybe: {name: m}\n"), &got)
-	want := testSettings{Count: 7, Share: 1, On: true, Parts: []testPart{{"a", time.Second, 2048}, {"12", 1500 * time.Millisecond, 0}},
-		By: map[string]testPart{"x": {"", 2 * time.Millisecond, 0}}, Maybe: &testPart{"m", time.Second, 0}}
+	want := testSettings{Count: 7, Share: 1, On: true,
+		Parts: []testPart{{"a", time.Second, 2048}, {"12", 1500 * time.Millisecond, 0}},
+		By:    map[string]testPart{"x": {"", 2 * time.Millisecond, 0}}, Maybe: &testPart{"m", time.Second, 0}}
 	if f.Err() != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v and error %v, want the values of the file and the defaults", got, f.Err())
 	}
@@ -89,7 +90,8 @@
 }
 
 func FuzzRead(f *testing.F) {
-	for _, s := range []string{"share: 1", "parts:\n- {name: a}", "by: {x: {wait: 1s}}", "maybe: &a {}\ndepth: *a", "? [a]\n: b"} {
+	for _, s := range []string{"share: 1", "parts:\n- {name: a}", "by: {x: {wait: 1s}}", "maybe: &a {}\ndepth: *a",
+		"? [a]\n: b"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
