--- a/cmd/gorsewellctl/load.go
+++ b/cmd/gorsewellctl/load.go
@@ -16,9 +16,9 @@
 )
 
 func loadCommand() *cobra.Command {
-	var arm, program, keep string
+	var arm, program, logDir string
 	var seed uint64
-	var warm time.Duration
+	var warmUp time.Duration
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "load FILE",
@@ -48,7 +48,7 @@
 			}
 			slog.SetLogLoggerLevel(slog.LevelError) // hides the log lines of gossip instances in this process
 			r, err := loopback.Run(c.Context(), loopback.Scenario{World: a.World, Faults: a.Faults,
-				Gossip: a.Decider.Gossip, Seed: seed, Program: program, WarmUp: warm, LogDir: keep})
+				Gossip: a.Decider.Gossip, Seed: seed, Program: program, WarmUp: warmUp, LogDir: logDir})
 			if err != nil {
 				return err
 			}
@@ -61,9 +61,9 @@
 	}
 	c.Flags().StringVar(&arm, "arm", "", "name of the arm; the file's first if empty")
 	c.Flags().StringVar(&program, "program", "bin/gorsewell", "the gateway's binary")
-	c.Flags().StringVar(&keep, "keep", "", "folder to keep the gateways' logs in; none are kept if empty")
+	c.Flags().StringVar(&logDir, "keep", "", "folder to keep the gateways' logs in; none are kept if empty")
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the random numbers")
-	c.Flags().DurationVar(&warm, "warm", 5*time.Second, "time that gateways run before the first op")
+	c.Flags().DurationVar(&warmUp, "warm", 5*time.Second, "time that gateways run before the first op")
 	c.Flags().BoolVar(&asJSON, "json", false, "print the result as one JSON object instead of text")
 	return c
 }
@@ -78,9 +78,9 @@
 	Busy          int64                     `json:"busy"`              // number of busy replies
 	Errored       int64                     `json:"errored"`           // number of final errors
 	Lost          int64                     `json:"lost_tries"`        // tries that ended without an answer
-	Unsent        int64                     `json:"unsent"`            // ops that this process could not send in time
+	Unsent        int64                     `json:"unsent"`            // ops not sent, as too many others were in progress
 	Sends         int64                     `json:"sends"`             // ops' attempts at servers
-	LatenessP50ms float64                   `json:"lateness_p50_ms"`   // median delay of sending an op after its intended time
+	LatenessP50ms float64                   `json:"lateness_p50_ms"`   // median delay of ops after their intended time
 	LatenessP99ms float64                   `json:"lateness_p99_ms"`   // 99th percentile of that delay
 	Types         map[string]typeSummary    `json:"types"`             // by the name of the op type
 	Gossip        map[string]counterSummary `json:"gossip,omitempty"`  // by the name of the counter
