--- a/internal/emulator/check.go
+++ b/internal/emulator/check.go
@@ -8,9 +8,10 @@
 	"gorsewell/choice"
 )
 
-// checker checks the five rules, which the documentation of package choice lists, from outside the gateways. It sees
-// which ops they accept, send and answer, what the server list says and what servers do, and shares no code with the
-// policies. Violations go to Result.Broken, the first ones with a Story.
+// checker checks the five rules, which the documentation of package choice lists, from outside the gateways. It is
+// notified of the ops that gateways accept, send and answer, of the lists that they receive and of what servers do, and
+// shares no code with the policies. It counts violations in Result.Broken and describes the first ones in
+// Result.Stories.
 type checker struct {
 	sim   *simulation
 	known map[*gateway]map[*server]knownState // by gateway: each server as the list last described it
@@ -37,22 +38,22 @@
 
 // opRecord is what the checker keeps of one op at one gateway.
 type opRecord struct {
-	finalAnswers    int             // -1: a missing answer has been reported
+	finalAnswers    int             // number of final answers; -1: a missing one has been reported
 	openSends       int             // sends without a result so far
 	mayHaveRun      bool            // a send has ended that may have run
 	mayHaveRunAt    time.Duration   // when the first such send started
-	mayHaveRunGroup *group          // to which it went
+	mayHaveRunGroup *group          // the group to which it went
 	effects         int             // times that the op took effect
-	sendTimes       []time.Duration // by number of the send
-	sendGroups      []*group        // by number of the send
+	sendTimes       []time.Duration // when each send started, by its number
+	sendGroups      []*group        // to which group each send went, by its number
 }
 
 func newChecker(sim *simulation) *checker {
 	return &checker{sim: sim, known: map[*gateway]map[*server]knownState{}}
 }
 
-// recordViolation counts a violation of a rule and keeps its story while there is room. op is nil if the gateway does
-// not hold the op.
+// recordViolation counts a violation of a rule and adds a Story of it, unless Result.Stories is full. op is nil if the
+// gateway does not hold the op.
 func (c *checker) recordViolation(rule int, op *gatewayOp, what string) {
 	c.sim.result.Broken[rule-1]++
 	if len(c.sim.result.Stories) >= maxStories {
@@ -66,19 +67,20 @@
 	c.sim.result.Stories = append(c.sim.result.Stories, story)
 }
 
-// opAccepted is called when a gateway accepts an op, for which it then owes one final answer.
+// opAccepted is called when a gateway accepts an op. From then on the gateway owes it one final answer.
 func (c *checker) opAccepted(op *gatewayOp) {
 	c.sim.result.Taken++
-	c.sim.traceOp(op, "taken by gateway %d, try %d, for %v more", op.gateway.index, op.tryNumber, op.clientLeavesAt-c.sim.now)
+	c.sim.traceOp(op, "taken by gateway %d, try %d, for %v more", op.gateway.index, op.tryNumber,
+		op.clientLeavesAt-c.sim.now)
 	c.sim.after(max(0, op.clientLeavesAt-c.sim.now)+c.sim.world.Rules.Slack, func() { c.checkDeadline(op) })
 }
 
-// checkDeadline checks that the final answer came within its client's time. A paused gateway cannot answer, so it is
-// checked Rules.Slack after the pause.
+// checkDeadline checks that the final answer came before the client left. A gateway that is paused cannot answer, so
+// the check is repeated Rules.Slack after the pause.
 func (c *checker) checkDeadline(op *gatewayOp) {
 	g := op.gateway
 	if op.record.finalAnswers > 0 || g.ops[op.id] != op {
-		return // answered, or the gateway has crashed
+		return // it has been answered, or the gateway has crashed
 	}
 	if c.sim.now < g.pausedUntil+c.sim.world.Rules.Slack {
 		c.sim.at(g.pausedUntil+c.sim.world.Rules.Slack, func() { c.checkDeadline(op) })
@@ -88,7 +90,7 @@
 		return
 	}
 	c.recordViolation(1, op, "no final answer in its client's time")
-	op.record.finalAnswers = -1 // not to be reported again
+	op.record.finalAnswers = -1 // so that it is not reported again
 }
 
 // finalAnswer is called for each final answer that the policy gives.
@@ -146,15 +148,18 @@
 	}
 	if known, ok := c.known[g][s]; ok && known.state != choice.Ready && now > known.since+c.sim.world.Rules.Grace &&
 		(!c.sim.world.Reports.GoneRuns || known.wasDraining) {
-		c.recordViolation(3, op, fmt.Sprintf("sent to server %d, %v after it was told that this drains or is gone", s.id, now-known.since))
+		c.recordViolation(3, op, fmt.Sprintf("sent to server %d, %v after it was told that this drains or is gone", s.id,
+			now-known.since))
 	} else if !ok || known.state == choice.Ready {
-		// A gateway that neither watches nor requests the list counts as knowing it after List.Within.
+		// A gateway that neither watches nor requests the list counts as knowing it after List.Within, as long as
+		// discovery is up.
 		if c.sim.world.List.Asked && !g.watchesList &&
 			now-g.lastListAt > c.sim.world.List.Within+c.sim.world.Rules.Grace && !c.sim.discovery.down {
 			if entry := c.sim.discovery.entries[s]; entry != nil && entry.state != choice.Ready &&
 				(!c.sim.world.Reports.GoneRuns || entry.state == choice.Draining) {
-				c.recordViolation(3, op, fmt.Sprintf("sent to server %d, which the list calls drained or gone, without asking for %v",
-					s.id, now-g.lastListAt))
+				c.recordViolation(3, op,
+					fmt.Sprintf("sent to server %d, which the list calls drained or gone, without asking for %v",
+						s.id, now-g.lastListAt))
 			}
 		}
 	}
@@ -168,7 +173,8 @@
 	case choice.ServerFull, choice.NoConnection, choice.NotSent, choice.Declined:
 	default:
 		if !record.mayHaveRun {
-			record.mayHaveRun, record.mayHaveRunAt, record.mayHaveRunGroup = true, record.sendTimes[a.number], record.sendGroups[a.number]
+			record.mayHaveRun, record.mayHaveRunAt, record.mayHaveRunGroup =
+				true, record.sendTimes[a.number], record.sendGroups[a.number]
 		}
 	}
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -9,45 +9,45 @@
 	"gorsewell/choice"
 )
 
-// request is an op that a client wants done, over all its tries.
+// request is an op of a client, with all its tries.
 type request struct {
 	id                uint64
 	opType            *opType
 	group             *group
 	session           uint64
-	homeGateway       int           // gateway that the front end prefers for the session
-	askedAt           time.Duration // of the first try
-	work              float64       // nanoseconds of a core of speed 1
+	homeGateway       int           // index of the gateway that the front end prefers for it
+	askedAt           time.Duration // time of the first try
+	work              float64       // in nanoseconds of a core of speed 1
 	patience          float64       // share of the op timeout for which the client waits
-	honoursRetryAfter bool          // waits as long as a busy reply says
+	honoursRetryAfter bool          // the client waits as long as a busy reply says
 	tryCount          int           // tries so far
 	finished          bool
 }
 
-// clients makes the requests, and receives the answers to them.
+// clients simulates all clients: it sends the requests, receives the answers and retries.
 type clients struct {
 	sim                    *simulation
 	rng                    *rand.Rand // draws the requests; nothing that a gateway does changes its sequence
 	lastID                 uint64
 	openRequests           int
-	baseRate               float64                  // requests a second at load factor 1
-	cumulativeShares       []float64                // of the op types, see pickWeighted
-	cumulativeGroupWeights []float64                // of the groups, see pickWeighted
-	recentWrites           [][]recentWrite          // by group
-	knownCommits           map[uint64]time.Duration // time of the newest commit that a session knows of, by its key (see lastWrite)
+	baseRate               float64                  // requests per second at load factor 1
+	cumulativeShares       []float64                // of the op types, for pickWeighted
+	cumulativeGroupWeights []float64                // of the groups, for pickWeighted
+	recentWrites           [][]recentWrite          // by group, the newest last
+	knownCommits           map[uint64]time.Duration // by key (see lastWrite): newest commit that a session knows of
 	nextArrival            int                      // index into Load.Arrivals
 	firstOpAt              time.Duration
-	bursts                 []*Fault // burst faults under way
+	bursts                 []*Fault // burst faults in effect
 }
 
-// recentWrite is a write that a session read may follow.
+// recentWrite is a write that a session read may follow, see Clients.Follows.
 type recentWrite struct {
 	session     uint64
 	homeGateway int
 	at          time.Duration
 }
 
-// newClients returns the clients of a run, which make no request before startLoad.
+// newClients returns the clients of a run, which send no request before startLoad.
 func newClients(sim *simulation) *clients {
 	c := &clients{sim: sim, rng: rand.New(rand.NewPCG(sim.seed, 3)), knownCommits: map[uint64]time.Duration{}}
 	sum := 0.0
@@ -72,7 +72,7 @@
 	return c
 }
 
-// loadFactor returns the factor of the load at a time since the first op.
+// loadFactor returns the factor on the load at a time, which counts from the first op.
 func (c *clients) loadFactor(now time.Duration) float64 {
 	factor := 1.0
 	if curve := c.sim.world.Load.Curve; len(curve) > 0 {
@@ -93,13 +93,13 @@
 	return factor
 }
 
-// startLoad lets requests begin at a time.
+// startLoad starts the stream of requests at a time.
 func (c *clients) startLoad(firstOpAt time.Duration) {
 	c.firstOpAt = firstOpAt
 	c.sim.at(firstOpAt, c.scheduleNext)
 }
 
-// scheduleNext schedules the next request.
+// scheduleNext schedules the next request, unless the load has ended by then.
 func (c *clients) scheduleNext() {
 	load := &c.sim.world.Load
 	var gap time.Duration
@@ -145,7 +145,8 @@
 	c.lastID++
 	req := &request{id: c.lastID, opType: opType, group: c.sim.groups[group], session: session, homeGateway: homeGateway,
 		askedAt: c.sim.now, tryCount: 0}
-	follows, gap, roams, patience, honours := c.rng.Float64(), c.rng.Float64(), c.rng.Float64(), c.rng.Float64(), c.rng.Float64()
+	follows, gap, roams, patience, honours :=
+		c.rng.Float64(), c.rng.Float64(), c.rng.Float64(), c.rng.Float64(), c.rng.Float64()
 	if opType.need == choice.Session && follows < world.Clients.Follows {
 		// The read follows the write whose age is nearest to a random gap.
 		wanted := time.Duration(exponential(gap) * float64(world.Clients.Gap))
@@ -182,7 +183,7 @@
 
 func abs(d time.Duration) time.Duration { return max(d, -d) }
 
-// try sends a try of a request to a gateway.
+// try sends one try of a request to a gateway.
 func (c *clients) try(req *request) {
 	g := c.chooseGateway(req)
 	sentAt, tryNumber := c.sim.now, req.tryCount
@@ -198,7 +199,8 @@
 			minPosition, writeAge := c.lastWrite(g, req)
 			g.accept(req, tryNumber, sentAt, max(clientLeavesAt, c.sim.now), minPosition, writeAge)
 		})
-		if c.sim.now < g.pausedUntil { // the gateway reads it after the pause, when the client may have left
+		// A paused gateway reads the request after the pause. If it crashes instead, the client retries.
+		if c.sim.now < g.pausedUntil {
 			generation := g.generation
 			c.sim.at(clientLeavesAt, func() {
 				if g.generation != generation {
@@ -210,8 +212,9 @@
 }
 
 // lastWrite returns the position that a session's read must see, which is that of the session's last known write, and
-// its age. With Reports.Carried the client carries that age to any gateway. Else a gateway only knows of the writes
-// that it acked itself since its start, and a session has one key for each such gateway.
+// the age of that write. With Reports.Carried the client carries this age to any gateway, and the key in knownCommits
+// is the session. Otherwise a gateway only knows of the writes that it has acked itself since its start, so the key
+// includes the gateway and its generation.
 func (c *clients) lastWrite(g *gateway, req *request) (minPosition, writeAge time.Duration) {
 	if req.opType.need != choice.Session {
 		return choice.LongPast, 0
@@ -239,7 +242,7 @@
 	return all[req.homeGateway]
 }
 
-// acked takes an ack to its client.
+// acked delivers an ack to its client.
 func (c *clients) acked(op *gatewayOp, a *attempt) {
 	req := op.request
 	if a.opType.need == choice.Write {
@@ -262,7 +265,7 @@
 	})
 }
 
-// busyReplied takes a busy reply to its client, which may try again.
+// busyReplied delivers a busy reply to its client, which may try again.
 func (c *clients) busyReplied(op *gatewayOp, retryAfter time.Duration) {
 	req := op.request
 	c.sim.result.Busy++
@@ -275,14 +278,14 @@
 	})
 }
 
-// errored takes an error to its client, which repeats only what may run again.
+// errored delivers an error to its client, which retries only if mayRepeat.
 func (c *clients) errored(op *gatewayOp) {
 	req := op.request
 	c.sim.result.Errored++
 	c.sim.after(c.sim.world.Network.Client, func() { c.retry(req, 0, c.mayRepeat(req)) })
 }
 
-// gatewayLost tells a client that the gateway that held its op has crashed.
+// gatewayLost lets a client notice that the gateway that held its op has crashed. It retries only if mayRepeat.
 func (c *clients) gatewayLost(op *gatewayOp) {
 	req := op.request
 	c.sim.after(c.sim.world.Network.Client, func() { c.retry(req, 0, c.mayRepeat(req)) })
@@ -294,8 +297,8 @@
 		req.opType.config.Effect == choice.Tokened && req.opType.config.Scope == choice.ScopeAll
 }
 
-// retry tries a request again after wait and the backoff, or gives it up if repeating it is not harmless or its client
-// tries no more.
+// retry tries a request again after wait and the backoff, or gives it up if repeating it is not harmless or the client
+// has no retries left.
 func (c *clients) retry(req *request, wait time.Duration, harmless bool) {
 	if req.finished {
 		return
@@ -313,7 +316,7 @@
 	})
 }
 
-// finish ends a request.
+// finish ends a request, which ignores later answers.
 func (c *clients) finish(req *request) {
 	req.finished = true
 	c.openRequests--
--- a/internal/emulator/fault.go
+++ b/internal/emulator/fault.go
@@ -11,34 +11,34 @@
 
 // Fault is one fault that is injected into a run, for a time.
 type Fault struct {
-	Kind  string        `yaml:"kind"`
+	Kind  string        `yaml:"kind"`  // one of FaultKinds
 	At    time.Duration `yaml:"at"`    // counted from the first op
 	For   time.Duration `yaml:"for"`   // how long it lasts; 0: to the end
-	Share float64       `yaml:"share"` // of the possible targets, rounded; at least one is struck
-	Count int           `yaml:"count"` // number of targets if Share is 0; at least one is struck
-	Of    string        `yaml:"of"`    // servers to strike: all, primaries or replicas
-	Zone  int           `yaml:"zone"`  // strikes only servers of this zone, counted from 1; 0: of any
-	Group int           `yaml:"group"` // strikes only servers of this group, counted from 1; 0: of any
-	Size  float64       `yaml:"size"`  // how strong it is; the meaning depends on the kind; 0: the default of the kind
-	Back  time.Duration `yaml:"back"`  // time until the targets are back, for kinds that say so
-	Every time.Duration `yaml:"every"` // period after which it strikes again, with targets drawn anew; 0: once
+	Share float64       `yaml:"share"` // share of the possible targets that it strikes, rounded; at least one is struck
+	Count int           `yaml:"count"` // number of targets that it strikes if Share is 0; at least one is struck
+	Of    string        `yaml:"of"`    // which servers it may strike: all, primaries or replicas; empty: all
+	Zone  int           `yaml:"zone"`  // it strikes only servers of this zone, counted from 1; 0: of any zone
+	Group int           `yaml:"group"` // it strikes only servers of this group, counted from 1; 0: of any group
+	Size  float64       `yaml:"size"`  // strength, whose meaning depends on the kind; 0: the default of the kind
+	Back  time.Duration `yaml:"back"`  // time until the targets are back, for kinds whose description names it
+	Every time.Duration `yaml:"every"` // period after which it strikes again, at targets drawn anew; 0: it strikes once
 	How   string        `yaml:"how"`   // variant, for kinds that have variants
 
-	order int        // among the faults of the run
-	rng   *rand.Rand // its own, so that no other fault changes what it does
+	order int        // index among the faults of the run
+	rng   *rand.Rand // source of its own, so that other faults do not change what it draws
 	kind  *faultKind
 }
 
-// faultKind is what a kind of fault does.
+// faultKind describes a kind of fault and holds its code.
 type faultKind struct {
-	doc         string
-	defaultSize float64 // of Fault.Size
-	target      targetKind
-	// begin starts the fault at its targets. end stops it.
+	doc         string     // description; size, how and back stand for the fields of Fault
+	defaultSize float64    // default of Fault.Size
+	target      targetKind // what it strikes
+	// begin starts the fault at its targets. The returned end stops it.
 	begin func(f *Fault, sim *simulation, servers []*server, gateways []*gateway) (end func())
 }
 
-// targetKind says what a fault strikes.
+// targetKind is the kind of targets that a fault strikes.
 type targetKind uint8
 
 const (
@@ -76,8 +76,11 @@
 		target: targetServers,
 		begin:  forEachServer(func(f *Fault, s *server) func() { s.setHung(true); return func() { s.setHung(false) } })}
 	faultKinds["slow"] = &faultKind{doc: "all work takes size times as long", defaultSize: 5, target: targetServers,
-		begin: forEachServer(func(f *Fault, s *server) func() { s.slowdown *= f.Size; return func() { s.slowdown /= f.Size } })}
-	faultKinds["error"] = &faultKind{doc: "a share size of all ops ends in an error",
+		begin: forEachServer(func(f *Fault, s *server) func() {
+			s.slowdown *= f.Size
+			return func() { s.slowdown /= f.Size }
+		})}
+	faultKinds["error"] = &faultKind{doc: "servers answer ops with an error, with probability size",
 		defaultSize: 0.6, target: targetServers,
 		begin: forEachServer(func(f *Fault, s *server) func() { s.errorShare = f.Size; return func() { s.errorShare = 0 } })}
 	faultKinds["refuse"] = &faultKind{doc: "servers refuse all ops as if they were full", target: targetServers,
@@ -88,16 +91,21 @@
 			s.applySlowdown *= f.Size
 			return func() { s.applySlowdown /= f.Size }
 		})}
-	faultKinds["lying_position"] = &faultKind{doc: "servers report a position that is size seconds ahead of the true one; reads from them may be stale",
-		defaultSize: 1,
-		target:      targetServers, begin: forEachServer(func(f *Fault, s *server) func() {
+	faultKinds["lying_position"] = &faultKind{
+		doc:         "servers report a position that is size seconds ahead of the true one; reads from them may be stale",
+		defaultSize: 1, target: targetServers,
+		begin: forEachServer(func(f *Fault, s *server) func() {
 			s.positionLead = time.Duration(f.Size * float64(time.Second))
 			return func() { s.positionLead = 0 }
 		})}
-	faultKinds["probe_fail"] = &faultKind{doc: "a share size of all probes fails while ops are served",
+	faultKinds["probe_fail"] = &faultKind{doc: "probes fail, with probability size, while ops are served",
 		defaultSize: 1, target: targetServers,
-		begin: forEachServer(func(f *Fault, s *server) func() { s.probeErrorShare = f.Size; return func() { s.probeErrorShare = 0 } })}
-	faultKinds["squeeze"] = &faultKind{doc: "servers accept only their share of size connections for each gateway, plus one for each core, and close unused ones",
+		begin: forEachServer(func(f *Fault, s *server) func() {
+			s.probeErrorShare = f.Size
+			return func() { s.probeErrorShare = 0 }
+		})}
+	faultKinds["squeeze"] = &faultKind{
+		doc:         "servers accept only their part of size connections per gateway plus one per core, and close unused ones",
 		defaultSize: 3, target: targetServers,
 		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
@@ -110,14 +118,15 @@
 				}
 			}
 		}}
-	faultKinds["neighbour"] = &faultKind{doc: "another program takes a share size of the machine, on and off",
+	faultKinds["neighbour"] = &faultKind{doc: "another program takes the share size of the machine, on and off",
 		defaultSize: 0.5, target: targetServers, begin: slowByNeighbour}
-	faultKinds["drain"] = &faultKind{doc: "servers drain and end; replacements under new ids start, cold, after back",
+	faultKinds["drain"] = &faultKind{
+		doc:    "servers drain and end; replacements under new ids start, cold, after the time back",
 		target: targetServers, begin: replaceServers}
-	faultKinds["deploy"] = &faultKind{doc: "a rolling deploy over the time of the fault: servers drain and are replaced, a share size at a time",
-		defaultSize: 0.1,
-		target:      targetServers, begin: replaceServers}
-	faultKinds["mass_restart"] = &faultKind{doc: "servers end all at once and are back, cold, after back",
+	faultKinds["deploy"] = &faultKind{
+		doc:         "a rolling deploy over the time of the fault: drains and replaces servers, the share size at a time",
+		defaultSize: 0.1, target: targetServers, begin: replaceServers}
+	faultKinds["mass_restart"] = &faultKind{doc: "servers end all at once and are back, cold, after the time back",
 		target: targetServers,
 		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 			for _, s := range servers {
@@ -139,7 +148,8 @@
 			sim.discovery.setDown(true)
 			return func() { sim.discovery.setDown(false) }
 		}}
-	faultKinds["list_silent"] = &faultKind{doc: "open watches receive nothing more; each instance gives up its own after a few seconds",
+	faultKinds["list_silent"] = &faultKind{
+		doc:    "open watches receive nothing more; each instance gives up its own after a few seconds",
 		target: targetNone,
 		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
 			sim.discovery.silenceWatches()
@@ -175,7 +185,8 @@
 				push()
 			}
 		}}
-	faultKinds["gateway_crash"] = &faultKind{doc: "instances crash and are back after back, with no state but the cached server list",
+	faultKinds["gateway_crash"] = &faultKind{
+		doc:    "instances crash and are back after the time back, with no state but the cached server list",
 		target: targetGateways,
 		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
@@ -188,7 +199,7 @@
 			}
 			return func() {}
 		}}
-	faultKinds["gateway_pause"] = &faultKind{doc: "instances are suspended for back", target: targetGateways,
+	faultKinds["gateway_pause"] = &faultKind{doc: "instances are suspended for the time back", target: targetGateways,
 		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for _, g := range gateways {
 				if !g.down {
@@ -197,7 +208,8 @@
 			}
 			return func() {}
 		}}
-	faultKinds["gateway_roll"] = &faultKind{doc: "instances crash one after another over the time of the fault, and each is back after back",
+	faultKinds["gateway_roll"] = &faultKind{
+		doc:    "instances crash one after another over the time of the fault, and each is back after the time back",
 		target: targetGateways,
 		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			for i, g := range gateways {
@@ -212,10 +224,12 @@
 			}
 			return func() {}
 		}}
-	faultKinds["one_sided"] = &faultKind{doc: "a share size of the instances and the struck servers cannot reach each other; how: sends or answers, then only these are lost",
+	faultKinds["one_sided"] = &faultKind{
+		doc:         "the struck servers and the share size of the instances cannot reach each other; with how sends or answers only these are lost",
 		defaultSize: 0.5, target: targetServers,
 		begin: func(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
-			cut := &networkCut{gateways: map[int]bool{}, servers: map[int]bool{}, toServer: f.How != "answers", toInstance: f.How != "sends"}
+			cut := &networkCut{gateways: map[int]bool{}, servers: map[int]bool{},
+				toServer: f.How != "answers", toInstance: f.How != "sends"}
 			for _, i := range f.rng.Perm(len(sim.gateways))[:max(1, int(f.Size*float64(len(sim.gateways))))] {
 				cut.gateways[i] = true
 			}
@@ -224,8 +238,10 @@
 			}
 			return sim.addCut(cut)
 		}}
-	faultKinds["partition"] = &faultKind{doc: "a share size of the instances and the others cannot gossip with each other; how: one_way, then only what the others send arrives",
-		defaultSize: 0.5, target: targetNone, begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
+	faultKinds["partition"] = &faultKind{
+		doc:         "the share size of the instances and the others cannot gossip with each other; with how one_way only what the former send is lost",
+		defaultSize: 0.5, target: targetNone,
+		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
 			sideA, sideB := map[int]bool{}, map[int]bool{}
 			for i, g := range f.rng.Perm(len(sim.gateways)) {
 				if i < int(f.Size*float64(len(sim.gateways))) {
@@ -241,7 +257,8 @@
 			}
 			return func() { end(); endOther() }
 		}}
-	faultKinds["network"] = &faultKind{doc: "a share size of all datagrams is lost; as many arrive twice and as many late",
+	faultKinds["network"] = &faultKind{
+		doc:         "the share size of all datagrams is lost; as many arrive twice and as many late",
 		defaultSize: 0.1, target: targetNone,
 		begin: func(f *Fault, sim *simulation, _ []*server, _ []*gateway) func() {
 			network := &sim.world.Network
@@ -249,7 +266,8 @@
 			network.Loss, network.Twice, network.Reorder = f.Size, f.Size, f.Size
 			return func() { network.Loss, network.Twice, network.Reorder = before.Loss, before.Twice, before.Reorder }
 		}}
-	faultKinds["liar"] = &faultKind{doc: "instances send false gossip; how: primaries, all, accuse, replay, future, contradict, praise or mixed",
+	faultKinds["liar"] = &faultKind{
+		doc:    "instances send false gossip; how: primaries, all, accuse, replay, future, contradict, praise, names, mixed",
 		target: targetGateways,
 		begin: func(f *Fault, sim *simulation, _ []*server, gateways []*gateway) func() {
 			if sim.gossipNet == nil {
@@ -270,7 +288,7 @@
 	return names, descriptions
 }
 
-// addCut cuts part of the network until the returned function is called.
+// addCut interrupts part of the network until the returned function is called.
 func (sim *simulation) addCut(cut *networkCut) func() {
 	sim.cuts = append(sim.cuts, cut)
 	return func() {
@@ -289,7 +307,7 @@
 	}
 }
 
-// slowByNeighbour slows machines down, on and off, as another program on the same machine would.
+// slowByNeighbour slows machines down, on and off for 1 to 3 seconds each, as another program on the machine would.
 func slowByNeighbour(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 	ended := false
 	factor := 1 / (1 - min(0.95, f.Size))
@@ -312,8 +330,8 @@
 	return func() { ended = true }
 }
 
-// replaceServers drains servers and replaces them, spread over the fault's time. A deploy replaces a share Size of
-// them at a time.
+// replaceServers drains servers and replaces them. A deploy replaces the share Size of them at a time, spread over the
+// fault's time; a drain replaces all at once.
 func replaceServers(f *Fault, sim *simulation, servers []*server, _ []*gateway) func() {
 	atOnce := len(servers)
 	if f.Kind == "deploy" {
@@ -350,7 +368,7 @@
 	return nil
 }
 
-// schedule lets the fault strike at its time, which counts from the first op at start.
+// schedule lets the fault strike at its time. start is the time of the first op, from which Fault.At counts.
 func (f *Fault) schedule(sim *simulation, start time.Duration) {
 	var strike func()
 	strike = func() {
@@ -374,25 +392,25 @@
 	sim.at(start+f.At, strike)
 }
 
-// targetNames lists what is struck, for an Event.
-func targetNames(servers []*server, gateways []*gateway) (s string) {
+// targetNames lists the targets of a fault, for an Event.
+func targetNames(servers []*server, gateways []*gateway) (list string) {
 	const maxNames = 8
-	for i, x := range servers {
+	for i, target := range servers {
 		if i == maxNames {
-			return fmt.Sprintf("%s and %d more", s, len(servers)-maxNames)
+			return fmt.Sprintf("%s and %d more", list, len(servers)-maxNames)
 		}
-		s += fmt.Sprintf(" server %d", x.id)
+		list += fmt.Sprintf(" server %d", target.id)
 	}
-	for i, x := range gateways {
+	for i, target := range gateways {
 		if i == maxNames {
-			return fmt.Sprintf("%s and %d more", s, len(gateways)-maxNames)
+			return fmt.Sprintf("%s and %d more", list, len(gateways)-maxNames)
 		}
-		s += fmt.Sprintf(" gateway %d", x.index)
+		list += fmt.Sprintf(" gateway %d", target.index)
 	}
-	return s
+	return list
 }
 
-// pickTargets draws what is struck.
+// pickTargets draws the servers or gateways that the fault strikes.
 func (f *Fault) pickTargets(sim *simulation) (servers []*server, gateways []*gateway) {
 	amount := func(available int) int {
 		count := f.Count
--- a/internal/emulator/gateway.go
+++ b/internal/emulator/gateway.go
@@ -6,13 +6,13 @@
 	"gorsewell/choice"
 )
 
-// policy decides in a gateway where ops go. It is the decision module, choice.Gateway, or a baselinePolicy to compare
-// it with.
+// policy decides in a gateway which server each op is sent to and when. It is the decision module, choice.Gateway, or a
+// baselinePolicy to compare that with.
 type policy interface {
 	Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration, groupID uint16,
 		writeAge time.Duration, isRetry bool)
-	Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result, took time.Duration, final bool,
-		role choice.Role, pos time.Duration)
+	Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result, took time.Duration,
+		final bool, role choice.Role, pos time.Duration)
 	Report(now time.Duration, id uint32, role choice.Role, pos time.Duration)
 	ProbeAnswer(now time.Duration, id uint32, result choice.Result, took time.Duration)
 	ClientGone(now time.Duration, id uint32)
@@ -21,7 +21,7 @@
 	Timer(now time.Duration, id uint32)
 }
 
-// gateway is one instance. It is the choice.Host of its policy and makes no decisions itself.
+// gateway is one gateway instance. It is the choice.Host of its policy and makes no decisions itself.
 type gateway struct {
 	sim         *simulation
 	index       int
@@ -31,40 +31,40 @@
 	downAt      time.Duration
 	clockBase   time.Duration // virtual time at which the gateway's clock shows 0
 	pausedUntil time.Duration
-	deferred    []func() // what came in during the pause
+	deferred    []func() // events that came in during the pause, to be handled after it
 
 	policy       policy
 	ops          map[uint32]*gatewayOp
 	lastOpID     uint32
-	pools        []*connPool // index: server id - 1
+	pools        []*connPool // index: server id - 1; nil before the first use
 	watchesList  bool
-	lastListAt   time.Duration             // when the policy was last handed a list, changes or a failure
-	knownStarts  map[*server]time.Duration // by server: its latest start according to the list
-	replicaSince map[*server]time.Duration // by server: when it first reported to be a replica, since it last reported otherwise
+	lastListAt   time.Duration             // when the policy was last handed the list, changes or a failure
+	knownStarts  map[*server]time.Duration // latest start of each server according to the list
+	replicaSince map[*server]time.Duration // since when each server has reported to be a replica
 	gossipNode   *instance                 // nil without gossip
 	listBuffer   []choice.Listed           // reused for each list
 }
 
 // connPool holds a gateway's unused connections to one server.
 type connPool struct {
-	idleSince  []time.Duration // one for each connection, the most recently used last
-	generation int             // of the server to which they were opened
+	idleSince  []time.Duration // when each connection became unused, the most recent last
+	generation int             // generation of the server when they were opened
 }
 
-// gatewayOp is one try of a request at a gateway, which sees each try as an op of its own.
+// gatewayOp is one try of a request at a gateway, which takes each try for an op of its own.
 type gatewayOp struct {
 	gateway        *gateway
 	id             uint32
 	request        *request
 	isRetry        bool
-	tryNumber      int           // of the request, from 0
+	tryNumber      int           // number of the try, from 0
 	sentAt         time.Duration // when the client sent it
 	clientLeavesAt time.Duration // when the client stops waiting
-	minPosition    time.Duration // that a session's read must see
+	minPosition    time.Duration // position that a session's read must see
 	acceptedAt     time.Duration
-	openAttempt    *attempt
-	sendCount      int
-	done           bool
+	openAttempt    *attempt // the send without a result so far, else nil
+	sendCount      int      // sends so far
+	done           bool     // it has its final answer, or the gateway has crashed
 	record         opRecord // kept by the checker
 }
 
@@ -73,21 +73,21 @@
 	op               *gatewayOp
 	request          *request
 	opType           *opType
-	number           int // of the send, from 0
+	number           int // number of the send, from 0
 	server           *server
-	serverGeneration int           // of the server when the attempt was last sent or written
-	work             float64       // nanoseconds of a core of speed 1
+	serverGeneration int           // generation of the server when the send was decided, then when it was written
+	work             float64       // in nanoseconds of a core of speed 1
 	minPosition      time.Duration // oldest position of data that may answer it
 	sentAt           time.Duration
-	ended            bool // its result has been delivered or is being delivered
-	dropped          bool // cancelled before a core was free
-	running          bool // a server has begun to work on it
-	holdsApply       bool // it keeps the replica from applying the log
-	connected        bool
-	written          bool
+	ended            bool          // it has a result or has been abandoned
+	dropped          bool          // abandoned before a core was free, so that the server skips it
+	running          bool          // a server has begun to work on it
+	holdsApply       bool          // it keeps the replica from applying the log
+	connected        bool          // it has a connection
+	written          bool          // it has been sent over the connection
 	committedAt      time.Duration // of a write: when it took effect
 	token            *token        // of a tokened write
-	dataPosition     time.Duration // of the server when the work began
+	dataPosition     time.Duration // position of the server when the work began
 }
 
 func (g *gateway) isUp() bool { return !g.down }
@@ -95,8 +95,8 @@
 // localTime returns the time by the gateway's own clock.
 func (g *gateway) localTime() time.Duration { return g.sim.now - g.clockBase }
 
-// runIfAlive calls f at the gateway: at once, after the pause if it is paused, or never if it has ended since the
-// given generation.
+// runIfAlive calls f at once, or after the pause if the gateway is paused. It does not call f if the gateway is down or
+// no longer of the given generation.
 func (g *gateway) runIfAlive(generation int, f func()) {
 	switch {
 	case g.generation != generation || g.down:
@@ -107,7 +107,7 @@
 	}
 }
 
-// schedule calls f at the gateway after a time, unless the gateway has ended by then.
+// schedule calls f after a time, unless the gateway has ended by then.
 func (g *gateway) schedule(after time.Duration, f func()) {
 	generation := g.generation
 	g.sim.after(after, func() { g.runIfAlive(generation, f) })
@@ -139,15 +139,17 @@
 // boot begins a new generation of the gateway, with its gossip node. It does not accept ops before startServing.
 func (g *gateway) boot() {
 	g.generation++
-	g.down, g.clockBase, g.pausedUntil, g.deferred = false, -time.Duration(draw(g.sim.seed, 0xba5e, uint64(g.index))*float64(time.Hour)), 0, nil
+	g.down, g.clockBase, g.pausedUntil, g.deferred =
+		false, -time.Duration(draw(g.sim.seed, 0xba5e, uint64(g.index))*float64(time.Hour)), 0, nil
 	if g.sim.gossipNet != nil {
 		g.gossipNode = g.sim.gossipNet.start(g)
 	}
 }
 
-// startServing begins to accept ops. The gateway has no state but the server list that the platform has cached.
+// startServing makes the gateway accept ops. It has no state but the server list that the platform has cached.
 func (g *gateway) startServing() {
-	g.ops, g.lastOpID, g.pools, g.watchesList, g.lastListAt = map[uint32]*gatewayOp{}, 0, nil, !g.sim.world.List.Asked, g.sim.now
+	g.ops, g.lastOpID, g.pools, g.watchesList, g.lastListAt =
+		map[uint32]*gatewayOp{}, 0, nil, !g.sim.world.List.Asked, g.sim.now
 	g.knownStarts, g.replicaSince = map[*server]time.Duration{}, map[*server]time.Duration{}
 	g.policy = g.sim.newPolicy(g)
 	var listed []*listEntry
@@ -186,8 +188,8 @@
 	}
 }
 
-// accept hands an op to the policy. minPosition is the position that a session's read must see, writeAge the age of
-// that position.
+// accept takes an op from a client and hands it to the policy. minPosition is the position that a session's read must
+// see, writeAge the age of that position.
 func (g *gateway) accept(req *request, tryNumber int, sentAt, clientLeavesAt time.Duration,
 	minPosition, writeAge time.Duration) *gatewayOp {
 	g.lastOpID++
@@ -197,11 +199,12 @@
 	g.ops[op.id] = op
 	g.sim.checker.opAccepted(op)
 	g.sim.after(clientLeavesAt-g.sim.now, func() { g.timeOut(op) })
-	g.policy.Op(g.localTime(), op.id, uint8(req.opType.index), req.session, clientLeavesAt-g.clockBase, uint16(req.group.index), writeAge, op.isRetry)
+	g.policy.Op(g.localTime(), op.id, uint8(req.opType.index), req.session, clientLeavesAt-g.clockBase,
+		uint16(req.group.index), writeAge, op.isRetry)
 	return op
 }
 
-// timeOut ends the open send when the client stops waiting, as a time limit on the connection would.
+// timeOut ends the open send as TimedOut when the client stops waiting, as a deadline of the connection would.
 func (g *gateway) timeOut(op *gatewayOp) {
 	if op.done || g.ops[op.id] != op {
 		return
@@ -222,8 +225,9 @@
 	}
 	a := &attempt{op: op, request: op.request, opType: op.request.opType, number: op.sendCount, server: s,
 		serverGeneration: s.generation, sentAt: g.sim.now}
-	a.work = op.request.work * lognormal(draw(g.sim.seed, 0xa77e, op.request.id, uint64(op.tryNumber), uint64(op.sendCount)),
-		op.request.opType.Noise)
+	a.work = op.request.work *
+		lognormal(draw(g.sim.seed, 0xa77e, op.request.id, uint64(op.tryNumber), uint64(op.sendCount)),
+			op.request.opType.Noise)
 	a.minPosition = choice.LongPast
 	switch a.opType.need {
 	case choice.Session:
@@ -241,7 +245,7 @@
 	g.connect(a)
 }
 
-// pool returns the pool of connections to a server.
+// pool returns the pool of connections to a server, which it creates at the first use.
 func (g *gateway) pool(s *server) *connPool {
 	i := int(s.id) - 1
 	for len(g.pools) <= i {
@@ -287,7 +291,8 @@
 	default:
 		s.openConnections++
 		generation := s.generation
-		took := 2*delay*time.Duration(max(1, settings.RoundTrips)) + time.Duration(float64(settings.Handshake)/s.currentSpeed())
+		took := 2*delay*time.Duration(max(1, settings.RoundTrips)) +
+			time.Duration(float64(settings.Handshake)/s.currentSpeed())
 		if took > settings.ConnectFor {
 			s.openConnections--
 			fail(settings.ConnectFor)
@@ -350,7 +355,7 @@
 	g.runIfAlive(generation, func() { g.deliverResult(a, result, role, pos) })
 }
 
-// generation returns the generation of the gateway that holds the op, or -1 if no gateway holds it any more.
+// generation returns the generation of the gateway that holds the op, or -1 if it no longer holds it.
 func (op *gatewayOp) generation() int {
 	if op.gateway.ops[op.id] != op {
 		return -1
@@ -402,7 +407,7 @@
 	g.policy.Answer(g.localTime(), op.id, uint8(a.number), a.server.id, result, took, op.done, role, pos)
 }
 
-// BusyReply is a final answer.
+// BusyReply sends a busy reply to the client, which is a final answer.
 func (g *gateway) BusyReply(opID uint32, retryAfter time.Duration) {
 	if op := g.ops[opID]; op != nil && !op.done {
 		op.done = true
@@ -416,7 +421,7 @@
 	}
 }
 
-// Error is a final answer.
+// Error sends an error to the client, which is a final answer.
 func (g *gateway) Error(opID uint32) {
 	if op := g.ops[opID]; op != nil && !op.done {
 		op.done = true
@@ -430,7 +435,7 @@
 	}
 }
 
-// Cancel cancels the open send.
+// Cancel cancels the open send, if it is the one with the given number.
 func (g *gateway) Cancel(opID uint32, send uint8) {
 	op := g.ops[opID]
 	if op == nil || op.openAttempt == nil || op.openAttempt.number != int(send) || op.openAttempt.ended {
@@ -476,7 +481,8 @@
 		fail(reports.Timeout, choice.TimedOut)
 	case !s.isUp():
 		fail(2*delay, choice.NoConnection)
-	case s.probeErrorShare > 0 && draw(sim.seed, 0xbad, uint64(server), uint64(g.index), uint64(sim.now)) < s.probeErrorShare:
+	case s.probeErrorShare > 0 &&
+		draw(sim.seed, 0xbad, uint64(server), uint64(g.index), uint64(sim.now)) < s.probeErrorShare:
 		fail(2*delay, choice.ServerError)
 	default:
 		sim.after(2*delay+time.Duration(float64(reports.Work)/s.currentSpeed()), func() {
@@ -493,7 +499,7 @@
 	}
 }
 
-// Timer calls the policy at a time of the gateway's clock.
+// Timer schedules a call of the policy's Timer at a time of the gateway's clock.
 func (g *gateway) Timer(id uint32, at time.Duration) {
 	generation := g.generation
 	g.sim.at(at+g.clockBase, func() {
@@ -501,7 +507,7 @@
 	})
 }
 
-// AskList requests the server list once.
+// AskList requests the server list, without later changes.
 func (g *gateway) AskList() { g.sim.discovery.requestList(g, false) }
 
 // WatchList requests the server list and then its changes.
@@ -517,7 +523,7 @@
 	pool.idleSince = nil
 }
 
-// Forget closes the unused connections to a server and withdraws the rumour about it.
+// Forget closes the unused connections to a server and withdraws the instance's rumour about it.
 func (g *gateway) Forget(server uint32) {
 	g.CloseIdle(server)
 	if g.gossipNode != nil {
@@ -525,7 +531,7 @@
 	}
 }
 
-// Trouble reports to the gossip node what the gateway has seen itself.
+// Trouble passes on to the gossip node what the policy has observed of a server.
 func (g *gateway) Trouble(server uint32, t choice.Trouble) {
 	g.sim.result.Troubles[t]++
 	if g.gossipNode != nil {
@@ -560,7 +566,8 @@
 	})
 }
 
-// knowsStart reports whether the gateway has learned of a server's latest start, or counts as knowing it.
+// knowsStart reports whether the gateway has learned of a server's latest start from the list, or counts as knowing it
+// because it has not received the list within List.Within.
 func (g *gateway) knowsStart(s *server) bool {
 	return g.knownStarts[s] == s.startedAt || !g.watchesList && g.sim.now-g.lastListAt > g.sim.world.List.Within
 }
--- a/internal/emulator/gossips.go
+++ b/internal/emulator/gossips.go
@@ -10,16 +10,16 @@
 	"gorsewell/internal/gossip"
 )
 
-// gossipNetwork is the network on which the instances gossip. It counts what gossip costs.
+// gossipNetwork is the network over which the instances gossip. It counts the bytes that they send.
 type gossipNetwork struct {
 	sim              *simulation
 	rng              *rand.Rand
-	instances        []*instance   // by gateway index: the present one of each
-	sentBytes        int64         // by all instances
-	worstSecondBytes int64         // most bytes that an instance sent in a second
+	instances        []*instance   // by gateway index: the present one of each gateway, or the last one if it is down
+	sentBytes        int64         // bytes sent by all instances
+	worstSecondBytes int64         // see GossipResult.WorstSent
 	falselyDead      int64         // see GossipResult.False
-	endedCounts      gossip.Counts // of nodes that have ended
-	countFrom        time.Duration // bytes sent before are not counted
+	endedCounts      gossip.Counts // counters of the nodes that have ended
+	countFrom        time.Duration // time from which bytes are counted
 }
 
 // instance is a gateway's gossip node and the node's Host.
@@ -27,25 +27,26 @@
 	*gossip.Node
 	network            *gossipNetwork
 	gateway            *gateway
-	generation         int           // of the gateway to which it belongs
+	generation         int           // generation of the gateway to which it belongs
 	clockBase          time.Duration // virtual time at which its clock shows 0
 	name               string
 	key                gossip.KeyID
 	runID              uint64 // drawn anew at each start
-	lastCounter        uint64 // of its datagrams
-	wakeCount          int    // calls of Wake; only the last one counts
-	currentSecond      int64  // in which it last sent
-	currentSecondBytes int64  // sent in currentSecond
-	liar               *liar  // nil unless it is one
+	lastCounter        uint64 // counter of its last datagram
+	wakeCount          int    // number of calls of Wake, of which only the last one has an effect
+	currentSecond      int64  // second of virtual time in which it last sent
+	currentSecondBytes int64  // bytes sent in currentSecond
+	liar               *liar  // nil unless the fault liar strikes it
 }
 
 func newGossipNetwork(sim *simulation) *gossipNetwork {
-	return &gossipNetwork{sim: sim, rng: rand.New(rand.NewPCG(sim.seed, 4)), instances: make([]*instance, sim.world.Gateways.Count)}
+	return &gossipNetwork{sim: sim, rng: rand.New(rand.NewPCG(sim.seed, 4)),
+		instances: make([]*instance, sim.world.Gateways.Count)}
 }
 
-// address returns the address of the instance of a gateway.
-func address(i int) netip.AddrPort {
-	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946)
+// address returns the address of the instance of the gateway with an index.
+func address(index int) netip.AddrPort {
+	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(index >> 16), byte(index >> 8), byte(index)}), 7946)
 }
 
 // gatewayIndex returns the index of the gateway whose instance has an address.
@@ -54,7 +55,7 @@
 	return int(b[1])<<16 | int(b[2])<<8 | int(b[3])
 }
 
-// config returns the settings of a node.
+// config returns the settings of the node of a gateway in one of its generations.
 func (net *gossipNetwork) config(index int, generation int) gossip.Config {
 	settings := &net.sim.world.Gossip
 	return gossip.Config{Name: fmt.Sprintf("g%04d", index), Key: gossip.KeyID{byte(index >> 8), byte(index), 1},
@@ -63,8 +64,8 @@
 		ProbeEvery: settings.ProbeEvery, ProbeTimeout: settings.ProbeTimeout, SuspectFor: settings.SuspectFor,
 		TellEvery: settings.TellEvery, SyncEvery: settings.SyncEvery, RumourLife: settings.RumourLife,
 		Members: settings.Members, Rumours: settings.Rumours, RumoursPerObserver: settings.RumoursPerObserver,
-		ObserversPerServer: settings.ObserversPerServer, Datagram: int(settings.Datagram), DatagramsPerTell: settings.DatagramsPerTell,
-		BytesPerSecond: int(settings.BytesPerSecond)}
+		ObserversPerServer: settings.ObserversPerServer, Datagram: int(settings.Datagram),
+		DatagramsPerTell: settings.DatagramsPerTell, BytesPerSecond: int(settings.BytesPerSecond)}
 }
 
 // start returns the node of a gateway's present generation, which it creates if there is none yet.
@@ -81,21 +82,22 @@
 		key: config.Key, runID: config.Run}
 	n.Node = gossip.New(n, config)
 	net.instances[index] = n
-	net.sim.after(time.Duration(draw(net.sim.seed, 0x90551, uint64(index), uint64(g.generation))*float64(time.Second)), func() {
-		g.runIfAlive(n.generation, func() { n.Node.Start(n.localTime()) })
-	})
+	net.sim.after(time.Duration(draw(net.sim.seed, 0x90551, uint64(index), uint64(g.generation))*float64(time.Second)),
+		func() {
+			g.runIfAlive(n.generation, func() { n.Node.Start(n.localTime()) })
+		})
 	return n
 }
 
 func (n *instance) localTime() time.Duration { return n.network.sim.now - n.clockBase }
 
-// schedule calls f at the instance after a time, unless its gateway has ended by then.
+// schedule calls f after a time, unless the instance's gateway has ended by then.
 func (n *instance) schedule(after time.Duration, f func()) {
 	n.network.sim.after(after, func() { n.gateway.runIfAlive(n.generation, f) })
 }
 
-// delay draws the time that a datagram takes. It draws from a source of its own, so that the delays of ops are the
-// same with and without gossip.
+// delay draws the time that a datagram takes to another instance. It draws from a source of its own, so that the delays
+// of ops are the same with and without gossip.
 func (n *instance) delay(to *instance) time.Duration {
 	network := &n.network.sim.world.Network
 	d := network.Within
@@ -105,7 +107,7 @@
 	return d + time.Duration(float64(d)*network.Jitter*n.network.rng.ExpFloat64())
 }
 
-// countBytes counts bytes sent. The worst second leaves out liars.
+// countBytes counts bytes sent. The seconds of a liar do not count for worstSecondBytes.
 func (n *instance) countBytes(bytes int) {
 	if n.network.sim.now < n.network.countFrom {
 		return
@@ -125,7 +127,7 @@
 	n.transmit(to, m)
 }
 
-// transmit carries a datagram to another instance, with the network's faults.
+// transmit carries a datagram to another instance, with the loss, repetition and reordering of the network.
 func (n *instance) transmit(to netip.AddrPort, m *gossip.Message) {
 	network := n.network
 	n.lastCounter++
@@ -189,11 +191,13 @@
 }
 
 func (n *instance) WeightChanged(server uint64, weight float64) {
-	if server >= 1 && server <= uint64(len(n.network.sim.servers)) && n.gateway.policy != nil && n.gateway.gossipNode == n {
+	if server >= 1 && server <= uint64(len(n.network.sim.servers)) && n.gateway.policy != nil &&
+		n.gateway.gossipNode == n {
 		n.gateway.policy.Rumour(n.gateway.localTime(), uint32(server), weight)
 	}
 }
 
+// Log counts the instances that the node declares dead although they are up and reachable in both directions.
 func (n *instance) Log(event, name string) {
 	network := n.network
 	if event != "member_dead" {
@@ -209,7 +213,7 @@
 	}
 }
 
-// reportTrouble passes on what the gateway's decision module has seen itself.
+// reportTrouble passes on to the node what the gateway's policy has observed of a server.
 func (n *instance) reportTrouble(server uint32, t choice.Trouble) {
 	if t == choice.NoTrouble {
 		n.Recovered(n.localTime(), uint64(server))
@@ -219,12 +223,12 @@
 	n.ReportSymptom(n.localTime(), uint64(server), s, s.Strength())
 }
 
-// opAcked passes on that a server has acked an op in time.
+// opAcked passes on to the node that a server has acked an op within its latency target.
 func (n *instance) opAcked(s *server, sentAt time.Duration) {
 	n.Acked(n.localTime(), uint64(s.id), sentAt-n.clockBase)
 }
 
-// result returns the totals of the run, for rates since start.
+// result returns the totals of the run. start is the time from which bytes are counted.
 func (net *gossipNetwork) result(start time.Duration) *GossipResult {
 	res := &GossipResult{False: net.falselyDead, Counts: net.endedCounts}
 	for _, n := range net.instances {
--- a/internal/emulator/group.go
+++ b/internal/emulator/group.go
@@ -12,25 +12,25 @@
 	sim           *simulation
 	index         int
 	members       []*server
-	primary       *server         // nil while there is none
-	primaryLostAt time.Duration   // when the last primary was lost
-	commits       []time.Duration // times of the newest commits, for members that come back
-	electing      bool
+	primary       *server           // nil while the group has none
+	primaryLostAt time.Duration     // when the last primary was lost
+	commits       []time.Duration   // times of the newest commits, oldest first, for members that come back
+	electing      bool              // an election is under way
 	term          int               // increases when a primary takes over, or returns before it was given up
 	tokens        map[uint64]*token // by request id
-	tokensSweptAt time.Duration     // when tokens out of date were last dropped
+	tokensSweptAt time.Duration     // when expired tokens were last dropped
 }
 
 // token is what a group remembers of a tokened op. Sends that arrive within the window of an earlier one, or while one
 // is pending, are recognized as repeats, and only one of them takes effect.
 type token struct {
-	lastSeenAt time.Duration // when a send of the op last arrived
-	pending    int           // sends of the op that have arrived and have not finished
-	done       bool
-	doneAt     time.Duration // when it took effect
+	lastSeenAt time.Duration // when the last send of the op arrived
+	pending    int           // sends of the op that have arrived and are unfinished
+	done       bool          // the op has taken effect
+	doneAt     time.Duration // when it did
 }
 
-// noteTokenedSend records the arrival of a tokened write, and drops the tokens that are out of date.
+// noteTokenedSend records the arrival of a tokened write, and drops expired tokens from time to time.
 func (g *group) noteTokenedSend(a *attempt) {
 	if a.opType.config.Effect != choice.Tokened || a.opType.need != choice.Write {
 		return
@@ -54,7 +54,8 @@
 	a.token = t
 }
 
-// takesEffect reports whether a write takes effect now, and sets the time at which it does or an earlier repeat did.
+// takesEffect reports whether a write takes effect now, and sets its committedAt: now or, if another send of the same
+// tokened op has taken effect before, the time at which that did.
 func (g *group) takesEffect(now time.Duration, a *attempt) bool {
 	a.committedAt = now
 	t := a.token
@@ -70,7 +71,7 @@
 	return true
 }
 
-// memberLost is called when a member has crashed, hangs or is cut off. If it is the primary and has not recovered
+// memberLost is called when a member has crashed, has vanished or hangs. If it is the primary and has not recovered
 // within Failover.Detect, another one is elected.
 func (g *group) memberLost(s *server) {
 	if g.primary != s {
@@ -100,8 +101,8 @@
 	g.elect(g.sim.world.Failover.Hand)
 }
 
-// elect promotes the member with the newest position after a time. It tries again every Failover.Elect while no member
-// can take the role.
+// elect promotes, after a time, the member with the newest position. While no member can take the role it tries again
+// every Failover.Elect.
 func (g *group) elect(after time.Duration) {
 	if g.electing {
 		return
@@ -130,7 +131,8 @@
 func (g *group) promote(s *server) {
 	g.term++
 	g.primary = s
-	// What has been shipped to it is applied before it takes the role. What has not is lost with the old primary.
+	// The commits that were shipped to the server are applied before it takes the role. The others are lost with the old
+	// primary.
 	s.backlog, s.applying, s.appliedTo = nil, false, g.sim.now
 	g.sim.recordEvent("server %d is primary of group %d", s.id, g.index)
 	g.sim.checker.promoted(s)
@@ -143,7 +145,7 @@
 
 // rejoin brings a member back as a replica, which continues from the position that it had.
 func (g *group) rejoin(s *server) {
-	if g.primary == s { // it has returned before it was given up
+	if g.primary == s { // it has returned before the group gave it up
 		g.term++
 		g.primary = nil
 		g.elect(g.sim.world.Failover.Elect)
@@ -171,18 +173,18 @@
 	startedAt time.Duration
 }
 
-// discoveryService keeps the list of servers and sends it to the gateways, with delays.
+// discoveryService keeps the list of servers and sends it to the gateways. It learns of changes with a delay.
 type discoveryService struct {
 	sim         *simulation
 	entries     map[*server]*listEntry
-	ordered     []*listEntry             // the same in order of arrival
-	down        bool                     // answers no request
-	frozen      bool                     // does not update the list
-	falseStates map[*server]choice.State // sent instead of the true states
-	busyUntil   time.Duration            // with the requests that it has received
+	ordered     []*listEntry             // the same entries in the order in which they were added
+	down        bool                     // it answers no request and pushes nothing
+	frozen      bool                     // it does not update the list
+	falseStates map[*server]choice.State // states that it sends instead of the true ones
+	busyUntil   time.Duration            // when it has handled all requests received so far
 }
 
-// serverChanged updates the entry of a server with the delay that discovery takes to notice the change.
+// serverChanged updates the entry of a server after the time that discovery takes to notice the change.
 func (d *discoveryService) serverChanged(s *server) {
 	list := &d.sim.world.List
 	delay := list.Added
@@ -202,7 +204,7 @@
 	})
 }
 
-// update brings a server's entry up to date and pushes it to the gateways that watch.
+// update brings a server's entry up to date and pushes it to the gateways that watch the list.
 func (d *discoveryService) update(s *server) {
 	if d.frozen {
 		return
@@ -241,7 +243,7 @@
 	d.push(changes)
 }
 
-// push sends changes to the gateways that watch, to each after a delay of its own up to List.Spread.
+// push sends changes to the gateways that watch the list, to each after a random delay of up to List.Spread.
 func (d *discoveryService) push(changes []*listEntry) {
 	if d.down || len(changes) == 0 {
 		return
@@ -249,7 +251,8 @@
 	for _, g := range d.sim.gateways {
 		if g.watchesList && g.isUp() {
 			g := g
-			delay := time.Duration(draw(d.sim.seed, 0x115, uint64(g.index), uint64(d.sim.now)) * float64(d.sim.world.List.Spread))
+			delay := time.Duration(draw(d.sim.seed, 0x115, uint64(g.index), uint64(d.sim.now)) *
+				float64(d.sim.world.List.Spread))
 			entries := d.snapshot(changes)
 			generation := g.generation
 			d.sim.after(delay, func() {
@@ -274,7 +277,8 @@
 	return copies
 }
 
-// requestList answers a request for the whole list. Requests are handled one after another, List.Call for each.
+// requestList answers a request for the whole list. Requests are handled one after another, each in List.Call, and fail
+// if they would wait for longer than List.Timeout.
 func (d *discoveryService) requestList(g *gateway, watch bool) {
 	generation := g.generation
 	list := &d.sim.world.List
@@ -314,14 +318,14 @@
 	})
 }
 
-// setDown starts or ends an outage. At its start all watches end, and the gateways notice.
+// setDown starts or ends an outage. At its start all watches end, and the gateways learn of it soon.
 func (d *discoveryService) setDown(down bool) {
 	if d.down = down; down {
 		d.endWatches(func(*gateway) time.Duration { return d.sim.world.List.Timeout / 8 })
 	}
 }
 
-// A gateway gives up a silenced watch at a random time between these after the silence began.
+// A gateway gives up a silenced watch at a random time between these, which count from the start of the silence.
 const (
 	minSilentWatch = 4 * time.Second
 	maxSilentWatch = 4600 * time.Millisecond
@@ -331,12 +335,13 @@
 func (d *discoveryService) silenceWatches() {
 	d.endWatches(func(g *gateway) time.Duration {
 		return minSilentWatch +
-			time.Duration(draw(d.sim.seed, 0x511, uint64(g.index), uint64(d.sim.now))*float64(maxSilentWatch-minSilentWatch))
+			time.Duration(draw(d.sim.seed, 0x511, uint64(g.index), uint64(d.sim.now))*
+				float64(maxSilentWatch-minSilentWatch))
 	})
 }
 
-// endWatches ends all watches that gateways requested. Each gateway learns of it after a time. A list that is pushed
-// has no such watches.
+// endWatches ends all watches that gateways requested, and each gateway learns of it after the given time. It has no
+// effect if the list is pushed without a request, see List.Asked.
 func (d *discoveryService) endWatches(after func(g *gateway) time.Duration) {
 	for _, g := range d.sim.gateways {
 		if g.watchesList && g.isUp() && d.sim.world.List.Asked {
--- a/internal/emulator/liar.go
+++ b/internal/emulator/liar.go
@@ -9,24 +9,25 @@
 	"gorsewell/internal/gossip"
 )
 
-// liar is an instance that sends false gossip while it serves its clients as usual. It holds one key. It can claim
-// anything in its own name, relay or withhold what others have signed, and give any age to what it relays. It cannot
-// sign for others.
+// liar is an instance that sends false gossip while it serves its clients as usual. It holds one key: it can claim
+// anything in its own name, relay or withhold what others have signed, and state any age for what it relays, but it
+// cannot sign for others.
 type liar struct {
 	instance    *instance
 	variant     string // one of LiarVariants
 	rng         *rand.Rand
-	lastNumber  uint32
-	turn        int                    // goes over the servers, groups and names that the false gossip is about
-	keptRumours []gossip.RelayedRumour // of others, to be replayed later
+	lastNumber  uint32                 // number of the last rumour in its own name
+	turn        int                    // selects in rotation the servers, groups and names that the false gossip is about
+	keptRumours []gossip.RelayedRumour // rumours of others, to be replayed later
 	keptAt      []time.Duration        // when each of keptRumours was received
-	stopped     bool
+	stopped     bool                   // the fault has ended
 }
 
-// LiarVariants lists the variants of the fault liar.
+// LiarVariants lists the variants of the fault liar, which sendFalseGossip describes. With how empty or mixed the liars
+// take them in turn.
 var LiarVariants = []string{"primaries", "all", "accuse", "replay", "future", "contradict", "praise", "names"}
 
-// startLiars makes liars of some instances until the returned function is called.
+// startLiars makes the instances of some gateways liars until the returned function is called.
 func (net *gossipNetwork) startLiars(f *Fault, gateways []*gateway) (end func()) {
 	var liars []*liar
 	for i, g := range gateways {
@@ -48,7 +49,7 @@
 	}
 }
 
-// sendRepeatedly sends false gossip every Gossip.TellEvery.
+// sendRepeatedly sends five datagrams of false gossip every Gossip.TellEvery until the fault ends.
 func (l *liar) sendRepeatedly() {
 	if l.stopped {
 		return
@@ -58,14 +59,15 @@
 			l.sendFalseGossip()
 		}
 	} else if n := l.instance.network.instances[l.instance.gateway.index]; n != nil && n != l.instance {
-		// It goes on after a restart of the instance.
+		// The gateway has restarted: its new instance goes on as the liar.
 		l.instance = n
 		n.liar = l
 	}
 	l.instance.network.sim.after(l.instance.network.sim.world.Gossip.TellEvery, l.sendRepeatedly)
 }
 
-// keepRumours keeps the newest 500 rumours that others have signed.
+// keepRumours adds the rumours of a message that others have signed, except withdrawals, to keptRumours, which holds
+// the newest 500.
 func (l *liar) keepRumours(m *gossip.Message) {
 	for _, rumour := range m.Rumours {
 		if rumour.Observer != l.instance.name && rumour.Symptom != gossip.Well {
@@ -77,14 +79,15 @@
 	}
 }
 
-// ownRumour returns a rumour in the name of the liar.
+// ownRumour returns a new rumour in the liar's own name.
 func (l *liar) ownRumour(server uint32, symptom gossip.Symptom) gossip.RelayedRumour {
 	l.lastNumber++
-	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.instance.name, Key: l.instance.key, Run: l.instance.runID,
-		Server: uint64(server), Symptom: symptom, Strength: 255, Number: l.lastNumber, Made: l.instance.localTime()}}
+	return gossip.RelayedRumour{Rumour: gossip.Rumour{Observer: l.instance.name, Key: l.instance.key,
+		Run: l.instance.runID, Server: uint64(server), Symptom: symptom, Strength: 255,
+		Number: l.lastNumber, Made: l.instance.localTime()}}
 }
 
-// sendFalseGossip sends one datagram to a random instance, or none if it draws its own.
+// sendFalseGossip sends one datagram with up to seven falsehoods to a random instance, or none if it draws its own.
 func (l *liar) sendFalseGossip() {
 	sim := l.instance.network.sim
 	to := l.rng.IntN(len(sim.gateways))
@@ -96,38 +99,39 @@
 		l.turn++
 		s := sim.servers[l.turn%len(sim.servers)]
 		switch l.variant {
-		case "primaries":
+		case "primaries": // the primaries are unreachable
 			group := sim.groups[l.turn%len(sim.groups)]
 			if group.primary != nil {
 				m.Rumours = append(m.Rumours, l.ownRumour(group.primary.id, gossip.Unreachable))
 			}
-		case "all":
+		case "all": // all servers are silent
 			m.Rumours = append(m.Rumours, l.ownRumour(s.id, gossip.Silent))
-		case "accuse":
+		case "accuse": // accusations of random other instances
 			i := l.rng.IntN(len(sim.gateways))
 			if accused := l.instance.network.instances[i]; accused != nil && accused != l.instance {
-				m.Claims = append(m.Claims, gossip.Claim{Kind: gossip.Accused, Name: accused.name, Incarnation: accused.Incarnation(),
-					By: l.instance.name, Key: l.instance.key, Run: l.instance.runID, Clock: l.instance.localTime()})
+				m.Claims = append(m.Claims, gossip.Claim{Kind: gossip.Accused, Name: accused.name,
+					Incarnation: accused.Incarnation(), By: l.instance.name, Key: l.instance.key,
+					Run: l.instance.runID, Clock: l.instance.localTime()})
 			}
-		case "replay": // old rumours of others as if they were new
+		case "replay": // rumours of others, more than ten seconds old, as if they were new
 			i := slices.IndexFunc(l.keptAt, func(at time.Duration) bool { return sim.now-at > 10*time.Second })
 			if i >= 0 {
 				rumour := l.keptRumours[l.rng.IntN(i+1)]
 				rumour.Age = 0
 				m.Rumours = append(m.Rumours, rumour)
 			}
-		case "future":
+		case "future": // rumours from up to an hour ahead, with a negative age
 			rumour := l.ownRumour(s.id, gossip.Silent)
 			rumour.Made += time.Duration(l.rng.IntN(3600)) * time.Second
 			rumour.Age = -time.Hour
 			m.Rumours = append(m.Rumours, rumour)
-		case "contradict":
+		case "contradict": // rumours and their withdrawals in turn
 			symptom := gossip.Silent
 			if l.turn/7%2 == 0 {
 				symptom = gossip.Well
 			}
 			m.Rumours = append(m.Rumours, l.ownRumour(s.id, symptom))
-		case "praise": // withdrawals for every server
+		case "praise": // withdrawals for all servers
 			m.Rumours = append(m.Rumours, l.ownRumour(s.id, gossip.Well))
 		case "names": // many names under its one key, each with a rumour
 			name := fmt.Sprintf("x%04d", l.turn%64)
--- a/internal/emulator/loop.go
+++ b/internal/emulator/loop.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// eventLoop is the virtual clock. It handles scheduled events in the order of their times, and those of one time in
-// the order in which they were scheduled. Nothing else advances the time, so a run is the same on any machine.
+// eventLoop is the virtual clock. It handles scheduled events in the order of their times, and events of the same time
+// in the order in which they were scheduled. Nothing else advances the time, so a run is the same on any machine.
 type eventLoop struct {
 	now          time.Duration
-	lastSequence uint64
-	heap         []scheduledEvent // a heap in which each event comes before its four children
-	steps        int64            // events handled
+	lastSequence uint64           // number of the event scheduled last
+	heap         []scheduledEvent // four-ary heap: each event comes before its children
+	steps        int64            // number of events handled
 }
 
-// scheduledEvent is an event that is scheduled for a time.
+// scheduledEvent is a function that is to be called at a time.
 type scheduledEvent struct {
 	at       time.Duration
-	sequence uint64 // number in the order of scheduling
+	sequence uint64 // number of the event in the order of scheduling
 	do       func()
 }
 
@@ -25,7 +25,7 @@
 	return e.at < o.at || e.at == o.at && e.sequence < o.sequence
 }
 
-// at schedules do for a time, or for now if that has passed.
+// at schedules a call of do for a time, or for now if that has passed.
 func (l *eventLoop) at(at time.Duration, do func()) {
 	l.lastSequence++
 	e := scheduledEvent{max(at, l.now), l.lastSequence, do}
@@ -42,10 +42,10 @@
 	l.heap[i] = e
 }
 
-// after schedules do for some time from now.
+// after schedules a call of do for some time from now.
 func (l *eventLoop) after(delay time.Duration, do func()) { l.at(l.now+delay, do) }
 
-// runUntil handles the events up to a time. It returns false when none is left.
+// runUntil handles the events up to a time. It returns false if no later event is scheduled.
 func (l *eventLoop) runUntil(until time.Duration) bool {
 	for len(l.heap) > 0 {
 		if l.heap[0].at > until {
@@ -61,7 +61,7 @@
 	return false
 }
 
-// pop removes the first event.
+// pop removes the first event from the heap.
 func (l *eventLoop) pop() {
 	last := len(l.heap) - 1
 	e := l.heap[last]
@@ -92,7 +92,7 @@
 }
 
 // draw returns a number between 0 and 1 that depends on its arguments alone. The random numbers of an op are therefore
-// the same whatever the gateways do, and arms can be compared op by op. It mixes as splitmix64 does.
+// the same whatever the gateways do, and arms can be compared op by op. It mixes the arguments as splitmix64 does.
 func draw(seed uint64, parts ...uint64) float64 {
 	x := seed
 	for _, p := range parts {
@@ -124,7 +124,7 @@
 }
 
 // DrawWork returns the work of one send of an op, drawn from the same distributions as in a run, so that servers that
-// emulate work on real sockets can be compared with simulated ones. It depends on its arguments alone.
+// emulate work on real sockets can be compared with simulated ones. It depends on the op type and the arguments alone.
 func (o *OpType) DrawWork(seed, op uint64, try, send int) time.Duration {
 	u := draw(seed, 0x3043, op)
 	work := float64(o.Work) * lognormal(u, o.Vary)
--- a/internal/emulator/policy.go
+++ b/internal/emulator/policy.go
@@ -8,10 +8,10 @@
 	"gorsewell/choice"
 )
 
-// Policies lists the names of the policies that an Arm can choose.
+// Policies lists the values of Arm.Policy: the decision module and the policies that it is compared with.
 var Policies = []string{"module", "oracle", "primary", "turns", "least", "two"}
 
-// newPolicy returns the policy of the arm for a gateway.
+// newPolicy returns the policy of the arm for a gateway, or that of testPolicy in tests.
 func (sim *simulation) newPolicy(g *gateway) policy {
 	if sim.testPolicy != nil {
 		return sim.testPolicy(g)
@@ -37,10 +37,11 @@
 	return p
 }
 
-// newBaselinePolicy returns a policy that picks servers with choose. choose returns nil if no server will do for now.
-func newBaselinePolicy(g *gateway, d *choice.Deployment, choose func(p *baselinePolicy, o *baselineOp) *server) *baselinePolicy {
-	p := &baselinePolicy{gateway: g, deployment: d, ops: map[uint32]*baselineOp{}, choose: choose, openSends: map[uint32]int{},
-		states: map[uint32]choice.State{}}
+// newBaselinePolicy returns a policy that picks servers with choose, which returns nil if none is suitable for now.
+func newBaselinePolicy(g *gateway, d *choice.Deployment,
+	choose func(p *baselinePolicy, o *baselineOp) *server) *baselinePolicy {
+	p := &baselinePolicy{gateway: g, deployment: d, ops: map[uint32]*baselineOp{}, choose: choose,
+		openSends: map[uint32]int{}, states: map[uint32]choice.State{}}
 	if d.ListOnRequest {
 		g.WatchList()
 	}
@@ -48,18 +49,18 @@
 	return p
 }
 
-// baselinePolicy is a simple policy to compare the decision module with. It keeps rules 1, 2 and 3. Whether rules 4
-// and 5 hold depends on choose.
+// baselinePolicy is a simple policy to compare the decision module with. It keeps rules 1, 2 and 3 of package choice.
+// Whether it keeps rules 4 and 5 depends on choose.
 type baselinePolicy struct {
 	gateway    *gateway
 	deployment *choice.Deployment
 	ops        map[uint32]*baselineOp
-	held       []*baselineOp // no server would do so far
+	held       []*baselineOp // ops without an open send, which dispatchHeld tries again
 	choose     func(p *baselinePolicy, o *baselineOp) *server
-	rotation   int    // where the next rotation over a group's members begins
-	drawCount  uint64 // random numbers drawn
-	isOracle   bool
-	openSends  map[uint32]int          // by server id: sends of this gateway without a result so far
+	rotation   int                     // increases with each pick; selects the member with which the rotation begins
+	drawCount  uint64                  // number of random numbers drawn
+	isOracle   bool                    // choose is oracle
+	openSends  map[uint32]int          // by server id: number of sends of this gateway without a result so far
 	states     map[uint32]choice.State // by server id, from the list
 }
 
@@ -67,21 +68,21 @@
 type baselineOp struct {
 	id             uint32
 	typeNumber     uint8
-	valuePerWork   float64
+	valuePerWork   float64 // value per nanosecond of the mean work of the op type
 	opType         *choice.OpType
 	group          *group
 	clientLeavesAt time.Duration
-	targetAt       time.Duration
-	minPosition    time.Duration // that a session's read must see, by the gateway's clock
-	sendCount      int
-	sentTo         *server       // of the open send, else nil
-	sentAt         time.Duration // of the last send
+	targetAt       time.Duration // when its latency target ends
+	minPosition    time.Duration // position that a session's read must see, by the gateway's clock
+	sendCount      int           // number of sends so far
+	sentTo         *server       // server of the open send, else nil
+	sentAt         time.Duration // when the last send started
 	mayHaveRun     bool          // a send has ended that may have run
 	mayHaveRunAt   time.Duration // when the first such send started
 }
 
-func (p *baselinePolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration, groupID uint16,
-	writeAge time.Duration, isRetry bool) {
+func (p *baselinePolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64,
+	clientLeavesAt time.Duration, groupID uint16, writeAge time.Duration, isRetry bool) {
 	opType := &p.deployment.OpTypes[typeNumber]
 	o := &baselineOp{id: id, typeNumber: typeNumber, opType: opType,
 		valuePerWork: opType.Value / float64(p.gateway.sim.opTypes[typeNumber].Work), group: p.gateway.sim.groups[groupID],
@@ -89,14 +90,14 @@
 	if opType.Need == choice.Session && writeAge > 0 {
 		o.minPosition = now - writeAge
 	}
-	if p.isOracle { // the latency target of a retry counts from its first try
+	if p.isOracle { // the latency target of a retry counts from the first try of the request
 		o.targetAt = p.gateway.ops[id].request.askedAt - p.gateway.clockBase + opType.Target
 	}
 	p.ops[id] = o
 	p.dispatch(now, o)
 }
 
-// dispatch sends an op, holds it if no server will do, or gives it up if sending is no longer allowed or useful.
+// dispatch sends an op, holds it if no server is suitable, or gives it up if sending is no longer allowed or useful.
 func (p *baselinePolicy) dispatch(now time.Duration, o *baselineOp) {
 	maySend := o.sendCount < p.deployment.MaxSends && (!o.mayHaveRun || o.opType.Effect == choice.Retryable ||
 		o.opType.Effect == choice.Tokened && o.opType.Scope != choice.ScopeZone &&
@@ -106,7 +107,8 @@
 		p.isOracle && now+p.gateway.sim.opTypes[o.typeNumber].Work/2 > usefulUntil {
 		p.unhold(o)
 		delete(p.ops, o.id)
-		if !o.mayHaveRun || o.opType.Effect == choice.Retryable || o.opType.Effect == choice.Tokened && o.opType.Scope == choice.ScopeAll {
+		if !o.mayHaveRun || o.opType.Effect == choice.Retryable ||
+			o.opType.Effect == choice.Tokened && o.opType.Scope == choice.ScopeAll {
 			p.gateway.BusyReply(o.id, min(o.opType.Target, p.deployment.MaxRetryAfter))
 		} else {
 			p.gateway.Error(o.id)
@@ -139,8 +141,8 @@
 	p.held = slices.DeleteFunc(p.held, func(x *baselineOp) bool { return x == o })
 }
 
-func (p *baselinePolicy) Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result, took time.Duration,
-	final bool, role choice.Role, pos time.Duration) {
+func (p *baselinePolicy) Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result,
+	took time.Duration, final bool, role choice.Role, pos time.Duration) {
 	p.openSends[serverID]--
 	o := p.ops[id]
 	if o == nil {
@@ -161,7 +163,7 @@
 		}
 		return
 	}
-	if result == choice.ServerFull || result == choice.NoConnection { // trying again at once would be no better
+	if result == choice.ServerFull || result == choice.NoConnection { // an immediate retry would probably end the same way
 		p.held = append(p.held, o)
 		return
 	}
@@ -175,7 +177,7 @@
 
 // dispatchHeld tries again to send the held ops.
 func (p *baselinePolicy) dispatchHeld(now time.Duration) {
-	if p.isOracle { // most value for the work first, among equals the latest target first
+	if p.isOracle { // highest value per work first, among equals the latest target first
 		slices.SortStableFunc(p.held, func(a, b *baselineOp) int {
 			return cmp.Or(cmp.Compare(b.valuePerWork, a.valuePerWork), cmp.Compare(b.targetAt, a.targetAt))
 		})
@@ -202,14 +204,20 @@
 func (p *baselinePolicy) ProbeAnswer(time.Duration, uint32, choice.Result, time.Duration) {}
 func (p *baselinePolicy) ClientGone(time.Duration, uint32)                                {}
 func (p *baselinePolicy) Rumour(time.Duration, uint32, float64)                           {}
-func (p *baselinePolicy) ready(s *server) bool                                            { return p.states[s.id] == choice.Ready }
-func (p *baselinePolicy) random() float64                                                 { p.drawCount++; return draw(p.deployment.Seed, p.drawCount) }
+
+func (p *baselinePolicy) ready(s *server) bool { return p.states[s.id] == choice.Ready }
+
+func (p *baselinePolicy) random() float64 {
+	p.drawCount++
+	return draw(p.deployment.Seed, p.drawCount)
+}
+
 func (p *baselinePolicy) primaryOnly(o *baselineOp) bool {
 	return o.opType.Need == choice.Write || o.opType.Need == choice.Fresh
 }
 
-// primary picks the primary for all ops, and learns of a new one without delay. It is the lower bound that every other
-// policy should beat.
+// primary picks the primary for all ops, and learns of a new one without delay. It is a lower bound, which every other
+// policy should exceed.
 func (p *baselinePolicy) primary(o *baselineOp) *server {
 	if s := o.group.primary; s != nil && p.ready(s) {
 		return s
@@ -217,7 +225,7 @@
 	return nil
 }
 
-// roundRobin picks the ready members in turn for reads, whatever their position.
+// roundRobin picks for reads the ready members in turn, whatever their position.
 func (p *baselinePolicy) roundRobin(o *baselineOp) *server {
 	if p.primaryOnly(o) {
 		return p.primary(o)
@@ -246,7 +254,7 @@
 	return best
 }
 
-// betterOfTwo picks for reads the one of two random members that has fewer open sends of this gateway.
+// betterOfTwo draws two members for a read and picks the ready one with fewer open sends of this gateway.
 func (p *baselinePolicy) betterOfTwo(o *baselineOp) (best *server) {
 	if p.primaryOnly(o) {
 		return p.primary(o)
@@ -260,8 +268,8 @@
 	return best
 }
 
-// oracle picks the server that should finish the op first, or none while no server is good. It sees the true state of
-// all servers and of the ops under way to them, and so is an upper bound that no real policy reaches.
+// oracle picks the server that should finish the op first, or none while even that one is too busy or too late. It sees
+// the true state of all servers and all open sends to them, and so is an upper bound that no real policy reaches.
 func (p *baselinePolicy) oracle(o *baselineOp) (best *server) {
 	sim := p.gateway.sim
 	now := sim.now
@@ -271,7 +279,7 @@
 			!sim.reaches(p.gateway, s, false) || !p.ready(s) {
 			continue
 		}
-		if s.errorShare >= 0.9 { // nearly all ops there fail
+		if s.errorShare >= 0.9 { // nearly all of its ops fail
 			continue
 		}
 		if pool := p.gateway.pool(s); s.connectionLimit > 0 && s.openConnections >= s.connectionLimit &&
@@ -307,7 +315,7 @@
 			wait = time.Duration(float64(wait) / (1 - s.errorShare))
 		}
 		if s.isPrimary() && !p.primaryOnly(o) {
-			wait += wait / 2 // keeps the primary free for writes
+			wait += wait / 2 // a penalty that keeps the primary free for writes
 		}
 		if wait < shortestWait {
 			best, shortestWait = s, wait
@@ -315,7 +323,7 @@
 	}
 	if best == nil || best.openAttempts >= best.cores+2 ||
 		now-p.gateway.clockBase+shortestWait > p.usefulUntil(o) && o.opType.LateValue == 0 {
-		return nil // the op would only wait at the server instead of here, or be too late
+		return nil // the op would wait at the server instead of here, or be too late
 	}
 	return best
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -14,69 +14,70 @@
 
 // Bounds on the texts that a run keeps.
 const (
-	maxEvents  = 400
-	maxStories = 12
-	maxLines   = 200
+	maxEvents  = 400 // events in Result.Events
+	maxStories = 12  // stories in Result.Stories
+	maxLines   = 200 // not used
 )
 
 // resultNames are the names of the results of a send in a Trace.
-var resultNames = [...]string{choice.Acked: "acked", choice.ServerError: "error", choice.ServerFull: "full", choice.TimedOut: "timed out",
-	choice.NoConnection: "no connection", choice.Reset: "reset", choice.Cancelled: "cancelled", choice.NotSent: "not sent", choice.Declined: "missed"}
+var resultNames = [...]string{choice.Acked: "acked", choice.ServerError: "error", choice.ServerFull: "full",
+	choice.TimedOut: "timed out", choice.NoConnection: "no connection", choice.Reset: "reset",
+	choice.Cancelled: "cancelled", choice.NotSent: "not sent", choice.Declined: "missed"}
 
 // Result is the outcome of a run.
 type Result struct {
-	Asked        float64 // ops asked by clients, retries not counted
-	Value        float64 // of these ops
-	Earned       float64 // part of Value
+	Asked        float64 // ops requested by clients, without their retries
+	Value        float64 // total value of these ops
+	Earned       float64 // part of Value that acks have earned
 	Types        []TypeResult
-	Windows      []Window // one for each second since the first op, by when ops were asked
-	Taken        int64    // ops accepted by gateways, retries included
-	Busy         int64    // busy replies
-	Errored      int64    // errors to clients
-	Retries      int64    // by clients
-	Sends        int64
-	Probes       int64
-	Troubles     [5]int64         // reported by the modules, by choice.Trouble; the first counts their ends
-	SendEnds     [9]int64         // by choice.Result
-	Worked       time.Duration    // work that servers began, in time of a core of speed 1
+	Windows      []Window         // one for each second since the first op
+	Taken        int64            // ops accepted by gateways, retries included
+	Busy         int64            // busy replies
+	Errored      int64            // errors to clients
+	Retries      int64            // retries by clients
+	Sends        int64            // sends by gateways
+	Probes       int64            // probes by gateways
+	Troubles     [5]int64         // troubles that policies reported, by choice.Trouble; the first counts their ends
+	SendEnds     [9]int64         // results of sends, by choice.Result
+	Worked       time.Duration    // work that servers began, as time of a core of speed 1
 	StaleExcused int64            // answers from old data by former primaries, which rule 5 allows
 	Broken       [5]int64         // violations by rule, from rule 1
-	Stories      []Story          // of the first violations
-	Events       []Event          // the first ones
-	Logs         map[string]int64 // how often the modules logged each line
+	Stories      []Story          // the first violations, up to maxStories
+	Events       []Event          // the first events, up to maxEvents
+	Logs         map[string]int64 // how often policies logged each line
 	Steps        int64            // scheduled events that were handled
 	Gossip       *GossipResult    // nil without gossip
 
-	start    time.Duration // of the first op
+	start    time.Duration // time of the first op
 	sim      *simulation
-	tracedOp uint64  // 0: none
+	tracedOp uint64  // id of the request to trace; 0: none
 	Trace    []Event // events of the traced op
 }
 
 // TypeResult is the outcome of one op type.
 type TypeResult struct {
 	Name    string
-	Asked   int64
-	Acked   int64 // within the latency target
-	Late    int64 // acked after the latency target
-	Failed  int64 // given up by the client, or acked after it had left
-	Value   float64
-	Earned  float64
+	Asked   int64                   // ops requested by clients, without their retries
+	Acked   int64                   // within the latency target
+	Late    int64                   // acked after the latency target
+	Failed  int64                   // given up by the client, or acked after it had left
+	Value   float64                 // total value of the ops
+	Earned  float64                 // part of Value that acks have earned
 	Latency *hdrhistogram.Histogram // of acks, in microseconds, from the first try
 }
 
-// Window is the outcome of the ops asked in one second.
+// Window is the outcome of the ops whose first try was made in one second, whenever they were acked.
 type Window struct {
-	Asked  float64
-	Value  float64
-	Earned float64
+	Asked  float64 // ops
+	Value  float64 // total value of these ops
+	Earned float64 // part of Value that acks have earned
 }
 
 // Story describes a violation of a rule.
 type Story struct {
 	Rule    int           // from 1
 	At      time.Duration // in virtual time
-	Gateway int           // index
+	Gateway int           // index of the gateway
 	Op      uint64        // id of the request
 	OpType  string
 	What    string
@@ -88,23 +89,24 @@
 	What string
 }
 
-// GossipResult is what gossip cost and found out.
+// GossipResult holds the traffic and the counters of gossip.
 type GossipResult struct {
-	Sent      float64 // mean of bytes a second that one instance sent
-	WorstSent float64 // most bytes that one instance sent in a second, those in a liar fault excluded
+	Sent      float64 // bytes per second and instance since the first op, without the false gossip of liars
+	WorstSent float64 // most bytes that one instance sent in a second; instances that are liars do not count
 	Counts    gossip.Counts
-	False     int64 // times that an instance declared another dead that was up and reachable both ways
+	False     int64 // times that an instance declared another one dead that was up and reachable in both directions
 }
 
 func newResult(sim *simulation) *Result {
 	res := &Result{sim: sim, Logs: map[string]int64{}}
 	for _, t := range sim.opTypes {
-		res.Types = append(res.Types, TypeResult{Name: t.Name, Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)})
+		res.Types = append(res.Types, TypeResult{Name: t.Name,
+			Latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 2)})
 	}
 	return res
 }
 
-// window returns the window of a time.
+// window returns the window that a time falls into.
 func (r *Result) window(at time.Duration) *Window {
 	i := int((at - r.start) / time.Second)
 	for len(r.Windows) <= i {
@@ -151,7 +153,7 @@
 // sendEnded counts the result of a send.
 func (r *Result) sendEnded(result choice.Result) { r.SendEnds[result]++ }
 
-// finish computes the totals. start is the time of the first op.
+// finish computes the totals at the end of the run. start is the time of the first op.
 func (r *Result) finish(start time.Duration) {
 	for i := range r.Types {
 		t := &r.Types[i]
@@ -166,7 +168,7 @@
 	r.sim = nil
 }
 
-// Service returns the share of the value asked for that was earned.
+// Service returns the share of the value of all ops that was earned, or 1 if there was no value to earn.
 func (r *Result) Service() float64 {
 	if r.Value == 0 {
 		return 1
@@ -174,7 +176,7 @@
 	return r.Earned / r.Value
 }
 
-// WorstService returns the lowest service in any given number of consecutive seconds.
+// WorstService returns the lowest service in any period of the given number of consecutive seconds.
 func (r *Result) WorstService(seconds int) float64 {
 	worst := 1.0
 	for i := 0; i+seconds <= len(r.Windows); i++ {
--- a/internal/emulator/run.go
+++ b/internal/emulator/run.go
@@ -1,10 +1,10 @@
-// Package emulator simulates a deployment in virtual time: clients, gateways, database servers that replicate a log, the
-// discovery service, the network, and faults. The gateways run the decision module of package choice, and the state
-// machine of package gossip, as in service. Everything else is a model, which docs/emulator.md describes together with
-// what it leaves out. A checker tests the five rules of package choice throughout.
+// Package emulator simulates a deployment in virtual time: clients, gateways, database servers that replicate a log,
+// the discovery service, the network, and faults. The gateways run the decision module of package choice and the state
+// machine of package gossip, the same code as in production. Everything else is a model, which docs/emulator.md
+// describes together with what it leaves out. A checker tests the five rules of package choice throughout.
 //
-// A run is determined by its world, faults, arm and seed. The random numbers of an op depend on the op alone, so that arms
-// run with one seed get the same ops, the same work and the same faults.
+// A run is determined by its world, faults, arm and seed. The random numbers of an op depend on the op alone, so that
+// arms run with one seed get the same ops, the same work and the same faults.
 package emulator
 
 import (
@@ -15,7 +15,7 @@
 	"gorsewell/choice"
 )
 
-// Arm is what decides in the gateways of a run.
+// Arm is the setup of the gateways in a run: their policy and whether they gossip. Experiments compare arms.
 type Arm struct {
 	Policy string `yaml:"policy"` // one of Policies; empty: module
 	Gossip bool   `yaml:"gossip"`
@@ -27,10 +27,10 @@
 	world      World
 	arm        Arm
 	seed       uint64
-	rng        *rand.Rand // must not be drawn from by what differs between arms
-	networkRNG *rand.Rand // for the delays and the jitter of the network
+	rng        *rand.Rand // not drawn from at present; must not be by anything that differs between arms
+	networkRNG *rand.Rand // draws the jitter of the network
 	opTypes    []*opType
-	checks     choice.Checks // by servers
+	checks     choice.Checks // what servers do with reads for which their data is too old
 
 	gateways   []*gateway
 	servers    []*server
@@ -38,12 +38,12 @@
 	discovery  *discoveryService
 	clients    *clients
 	checker    *checker
-	cuts       []*networkCut  // under way
+	cuts       []*networkCut  // in effect at present
 	gossipNet  *gossipNetwork // nil without gossip
 	result     *Result
 	meanWork   time.Duration // mean work of an op
 	faults     []*Fault
-	testPolicy func(g *gateway) policy // in tests: makes the policy instead of the arm
+	testPolicy func(g *gateway) policy // in tests: makes the policy instead of arm.Policy
 }
 
 // opType is an op type with what is derived from it.
@@ -51,11 +51,11 @@
 	OpType
 	index  int
 	need   choice.Need
-	config choice.OpType // as the gateways are configured
+	config choice.OpType // as it stands in the configuration of the gateways
 }
 
-// Run simulates a world with its faults, which need not be in order of time. It returns an error if the world or a
-// fault is invalid.
+// Run simulates a world with its faults, which need not be in order of time. It returns an error if the world is
+// invalid or the kind of a fault unknown; ValidFaults checks the other fields of faults.
 func Run(world World, faults []Fault, arm Arm, seed uint64) (*Result, error) {
 	sim, err := newSimulation(world, faults, arm, seed)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return sim.result, nil
 }
 
-// newSimulation sets up a run.
+// newSimulation checks the world and sets up a run of it.
 func newSimulation(world World, faults []Fault, arm Arm, seed uint64) (*simulation, error) {
 	sim := &simulation{world: world, arm: arm, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)),
 		networkRNG: rand.New(rand.NewPCG(seed, 2))}
@@ -86,8 +86,8 @@
 	var shares, work float64
 	for i, t := range world.OpTypes {
 		o := &opType{OpType: t, index: i, need: needs[t.Need]}
-		o.config = choice.OpType{Effect: effects[t.Effect], Scope: scopes[t.Scope], Window: t.Window, Need: o.need, Target: t.Target,
-			Timeout: t.Timeout, Value: t.Value, LateValue: t.LateValue}
+		o.config = choice.OpType{Effect: effects[t.Effect], Scope: scopes[t.Scope], Window: t.Window, Need: o.need,
+			Target: t.Target, Timeout: t.Timeout, Value: t.Value, LateValue: t.LateValue}
 		if o.need == choice.Bounded {
 			o.config.Bound = t.Bound
 		}
@@ -106,7 +106,8 @@
 		for j := range world.Servers.Members {
 			s := sim.addServer(g, (i+j)%world.Zones, uint8(i%len(world.Servers.Kinds)))
 			s.startedAt, s.appliedTo = longAgo, 0
-			entry := &listEntry{server: s, state: choice.Ready, primary: j == 0 && world.List.Roles != "none", startedAt: longAgo}
+			entry := &listEntry{server: s, state: choice.Ready, primary: j == 0 && world.List.Roles != "none",
+				startedAt: longAgo}
 			sim.discovery.entries[s] = entry
 			sim.discovery.ordered = append(sim.discovery.ordered, entry)
 		}
@@ -132,8 +133,8 @@
 
 // run runs the simulation to its end.
 func (sim *simulation) run() {
-	// The instances have found one another before the first op. In every arm ops begin at that time, so that runs can be
-	// compared.
+	// The warm-up lets the instances find one another before the first op. Arms without gossip wait as long, so that
+	// runs can be compared.
 	start := sim.world.Gossip.Warm
 	for _, g := range sim.gateways {
 		g.boot()
@@ -164,26 +165,26 @@
 	sim.result.finish(start)
 }
 
-// addServer adds a server to a group, under the next id. The caller sets its start and its position.
+// addServer adds a server to a group, under the next id. The caller sets startedAt and appliedTo.
 func (sim *simulation) addServer(g *group, zone int, kind uint8) *server {
 	id := uint32(len(sim.servers) + 1)
 	k := sim.world.Servers.Kinds[kind]
 	speed := k.Speed * (1 + sim.world.Servers.Spread*(2*draw(sim.seed, 0x5beed, uint64(id))-1))
-	s := &server{sim: sim, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed, slowdown: 1, applySlowdown: 1,
-		generation: 1}
+	s := &server{sim: sim, id: id, group: g, zone: zone, kind: kind, cores: k.Cores, speed: speed,
+		slowdown: 1, applySlowdown: 1, generation: 1}
 	sim.servers = append(sim.servers, s)
 	g.members = append(g.members, s)
 	return s
 }
 
-// recordEvent records an event that helps a reader to understand the results, while there is room.
+// recordEvent adds an event to Result.Events, unless that is full.
 func (sim *simulation) recordEvent(format string, args ...any) {
 	if len(sim.result.Events) < maxEvents {
 		sim.result.Events = append(sim.result.Events, Event{sim.now, fmt.Sprintf(format, args...)})
 	}
 }
 
-// delay draws how long a message takes between two zones.
+// delay draws the time that a message takes from one zone to another, which may be the same.
 func (sim *simulation) delay(a, b int) time.Duration {
 	d := sim.world.Network.Within
 	if a != b {
@@ -197,7 +198,7 @@
 	return d + time.Duration(float64(d)*sim.world.Network.Jitter*sim.networkRNG.ExpFloat64())
 }
 
-// networkCut is a part of the network that carries nothing.
+// networkCut is an interruption of part of the network.
 type networkCut struct {
 	fromGateways    map[int]bool // with betweenGateways, by index: what these send to toGateways is lost
 	toGateways      map[int]bool // with betweenGateways, by index
@@ -230,22 +231,25 @@
 	return true
 }
 
-// The values that the words in a World stand for.
+// The values that the strings in a World stand for.
 var (
-	needs = map[string]choice.Need{"write": choice.Write, "fresh": choice.Fresh, "session": choice.Session, "bounded": choice.Bounded,
-		"any": choice.Any}
-	effects      = map[string]choice.Effect{"retryable": choice.Retryable, "tokened": choice.Tokened, "non_retryable": choice.NonRetryable}
+	needs = map[string]choice.Need{"write": choice.Write, "fresh": choice.Fresh, "session": choice.Session,
+		"bounded": choice.Bounded, "any": choice.Any}
+	effects = map[string]choice.Effect{"retryable": choice.Retryable, "tokened": choice.Tokened,
+		"non_retryable": choice.NonRetryable}
 	scopes       = map[string]choice.Scope{"group": choice.ScopeGroup, "zone": choice.ScopeZone, "all": choice.ScopeAll}
 	serverChecks = map[string]choice.Checks{"none": choice.Unchecked, "refuses": choice.Refuses, "waits": choice.Waits}
 )
 
-// deployment returns the description of its surroundings that a gateway gets at its start.
+// deployment returns the configuration with which a gateway starts.
 func (sim *simulation) deployment(g *gateway) *choice.Deployment {
 	world := &sim.world
-	d := &choice.Deployment{Gateways: world.Gateways.Count, Seed: mix(sim.seed ^ uint64(g.index)<<20 ^ uint64(g.generation)),
-		EventInterval: world.Gateways.Round, ListOnRequest: world.List.Asked, AskWithin: world.List.Within, Checks: sim.checks,
-		AnswersCarryPosition: world.Reports.Answers, WriteAgeCarried: world.Reports.Carried, MayProbe: world.Gateways.Probes,
-		MayCancel: world.Gateways.Cancels, MaxRetryAfter: world.Gateways.ComeBack, MaxSends: world.Gateways.MaxSends,
+	d := &choice.Deployment{Gateways: world.Gateways.Count,
+		Seed:          mix(sim.seed ^ uint64(g.index)<<20 ^ uint64(g.generation)),
+		EventInterval: world.Gateways.Round, ListOnRequest: world.List.Asked, AskWithin: world.List.Within,
+		Checks: sim.checks, AnswersCarryPosition: world.Reports.Answers, WriteAgeCarried: world.Reports.Carried,
+		MayProbe: world.Gateways.Probes, MayCancel: world.Gateways.Cancels,
+		MaxRetryAfter: world.Gateways.ComeBack, MaxSends: world.Gateways.MaxSends,
 		ColdFrom: world.Servers.ColdFrom, ColdTime: world.Servers.ColdTime, OverloadFactor: world.Rules.Overload,
 		OverloadTime: world.Rules.FallTime, ReportsPosition: world.Reports.Probes, ReportsRole: world.Reports.Probes}
 	for _, t := range sim.opTypes {
@@ -254,6 +258,6 @@
 	return d
 }
 
-// ModelVersion increases with each change of the emulator, or of what it runs, that makes results differ from earlier
-// ones. Stored runs of another version are run again.
+// ModelVersion increases with each change of the emulator, or of the code that it runs, that changes results. Stored
+// runs of another version are run again.
 const ModelVersion = 1
--- a/internal/emulator/run_test.go
+++ b/internal/emulator/run_test.go
@@ -32,7 +32,8 @@
 	w.Network.Loss, w.Network.Twice, w.Network.Reorder = 0.1, 0.1, 0.1
 	faults := []Fault{{Kind: "hang", At: 2 * time.Second, For: 5 * time.Second, Count: 2},
 		{Kind: "gateway_crash", At: 4 * time.Second, Count: 1, Back: time.Second},
-		{Kind: "deploy", At: 5 * time.Second, For: 8 * time.Second, Share: 0.5}, {Kind: "liar", Count: 1, How: "all"},
+		{Kind: "deploy", At: 5 * time.Second, For: 8 * time.Second, Share: 0.5},
+		{Kind: "liar", Count: 1, How: "all"},
 		{Kind: "gateway_pause", At: 9 * time.Second, Count: 1, Back: 2 * time.Second}}
 	var first []byte
 	for i := range 3 {
@@ -55,7 +56,7 @@
 	}
 }
 
-// Arms can only be compared if the ops do not depend on who answers them.
+// TestArmsGetSameOps guards against ops that depend on the policy or the gossip: arms could not be compared then.
 func TestArmsGetSameOps(t *testing.T) {
 	faults := []Fault{{Kind: "crash", At: 2 * time.Second, For: 5 * time.Second, Share: 0.2},
 		{Kind: "burst", At: 3 * time.Second, For: 3 * time.Second}}
@@ -69,8 +70,8 @@
 	}
 }
 
-// Under every kind of fault the decision module keeps the rules, with and without gossip, and its service is not
-// better than that of the oracle, which is an upper bound.
+// TestModuleKeepsRulesUnderEveryFault checks that the decision module keeps the rules under every kind of fault, with
+// and without gossip, and that its service does not exceed that of the oracle, which is an upper bound.
 func TestModuleKeepsRulesUnderEveryFault(t *testing.T) {
 	names, _ := FaultKinds()
 	for i, name := range names {
@@ -80,13 +81,14 @@
 		faults := []Fault{{Kind: name, At: 3 * time.Second, For: 8 * time.Second, Share: 0.3, Back: 2 * time.Second}}
 		with, without := runWorld(t, w, faults, Arm{Gossip: true}, uint64(i)), runWorld(t, w, faults, Arm{}, uint64(i))
 		oracle := runWorld(t, w, faults, Arm{Policy: "oracle"}, uint64(i))
-		lyingPosition := name == "lying_position" // then stale reads are the fault of the servers
+		lyingPosition := name == "lying_position" // stale reads are the fault of the servers then
 		for arm, r := range map[string]*Result{"with": with, "without": without} {
 			if r.RulesBroken() > 0 && !(lyingPosition && r.RulesBroken() == r.Broken[4]) {
 				t.Errorf("%s, %s gossip: got violations %v, want none: %+v", name, arm, r.Broken, r.Stories)
 			}
 			if r.Service() > oracle.Service()+0.02 {
-				t.Errorf("%s, %s gossip: got service %.3f, want at most %.3f, the oracle's, plus 0.02", name, arm, r.Service(), oracle.Service())
+				t.Errorf("%s, %s gossip: got service %.3f, want at most %.3f, the oracle's, plus 0.02", name, arm, r.Service(),
+					oracle.Service())
 			}
 			if r.Service() < 0.3 {
 				t.Errorf("%s, %s gossip: got service %.3f, want at least 0.3", name, arm, r.Service())
@@ -95,7 +97,7 @@
 	}
 }
 
-// runMutant runs a world with a policy that breaks a rule. wrap, if not nil, changes the policy or wraps it.
+// runMutant runs a world with a policy that is made to break a rule by choose, or by wrap if that is not nil.
 func runMutant(t *testing.T, w World, faults []Fault, choose func(p *baselinePolicy, o *baselineOp) *server,
 	wrap func(p *baselinePolicy) policy) *Result {
 	t.Helper()
@@ -114,7 +116,7 @@
 	return sim.result
 }
 
-// expectOnly checks that a run broke one rule and no other, and has a story of it.
+// expectOnly checks that a run broke one rule and no other, and that its first story describes a violation of it.
 func expectOnly(t *testing.T, r *Result, rule int) {
 	t.Helper()
 	for i, n := range r.Broken {
@@ -124,25 +126,25 @@
 		}
 	}
 	if len(r.Stories) == 0 || r.Stories[0].Rule != rule || r.Stories[0].What == "" {
-		t.Errorf("rule %d: got no story about it in first place, want one", rule)
+		t.Errorf("rule %d: got no description of a violation of it in the first story, want one", rule)
 	}
 }
 
 // forgetfulPolicy ignores one op in ten.
 type forgetfulPolicy struct{ *baselinePolicy }
 
-func (m forgetfulPolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration, groupID uint16,
-	writeAge time.Duration, isRetry bool) {
+func (m forgetfulPolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64,
+	clientLeavesAt time.Duration, groupID uint16, writeAge time.Duration, isRetry bool) {
 	if id%10 > 0 {
 		m.baselinePolicy.Op(now, id, typeNumber, session, clientLeavesAt, groupID, writeAge, isRetry)
 	}
 }
 
-// resendingPolicy sends one op in ten again after its end.
+// resendingPolicy sends one op in ten again after its final answer.
 type resendingPolicy struct{ *baselinePolicy }
 
-func (m resendingPolicy) Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result, took time.Duration,
-	final bool, role choice.Role, pos time.Duration) {
+func (m resendingPolicy) Answer(now time.Duration, id uint32, number uint8, serverID uint32, result choice.Result,
+	took time.Duration, final bool, role choice.Role, pos time.Duration) {
 	m.baselinePolicy.Answer(now, id, number, serverID, result, took, final, role, pos)
 	if final && id%10 == 0 && number == 0 {
 		m.gateway.Send(id, serverID, 0)
@@ -152,8 +154,8 @@
 // duplicatingPolicy sends one op in ten to the same server again while its first send is open.
 type duplicatingPolicy struct{ *baselinePolicy }
 
-func (m duplicatingPolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64, clientLeavesAt time.Duration, groupID uint16,
-	writeAge time.Duration, isRetry bool) {
+func (m duplicatingPolicy) Op(now time.Duration, id uint32, typeNumber uint8, session uint64,
+	clientLeavesAt time.Duration, groupID uint16, writeAge time.Duration, isRetry bool) {
 	m.baselinePolicy.Op(now, id, typeNumber, session, clientLeavesAt, groupID, writeAge, isRetry)
 	if o := m.ops[id]; o != nil && o.sentTo != nil && id%10 == 0 {
 		m.gateway.Send(id, o.sentTo.id, 0)
@@ -168,7 +170,7 @@
 	expectOnly(t, runMutant(t, smallWorld(), nil, (*baselinePolicy).roundRobinFresh,
 		func(p *baselinePolicy) policy { return duplicatingPolicy{p} }), 2)
 
-	// Every op that failed is sent again and counts as retryable.
+	// The policy takes all ops for retryable and sends every failed op again.
 	w := smallWorld()
 	w.OpTypes[2].Effect = "non_retryable"
 	errors := []Fault{{Kind: "error", At: time.Second, Size: 0.5, Of: "primaries", Share: 1}}
@@ -179,14 +181,14 @@
 		return p
 	}), 2)
 
-	// Ops are sent to draining servers.
+	// The policy sends ops to draining servers.
 	drains := []Fault{{Kind: "drain", At: 3 * time.Second, Count: 3, Of: "replicas", Back: time.Second}}
 	w = smallWorld()
 	w.Servers.Drain = 4 * time.Second
 	expectOnly(t, runMutant(t, w, drains, (*baselinePolicy).roundRobinFresh,
 		func(p *baselinePolicy) policy { return drainIgnoringPolicy{p} }), 3)
 
-	// Reads are sent to the server that started last.
+	// The policy sends all reads to the server that started last, which is cold.
 	w = smallWorld()
 	w.Servers.ColdFrom, w.Servers.ColdTime, w.Rules.FallTime = 0.05, 20*time.Second, time.Second
 	w.Load.Use = 0.8
@@ -196,10 +198,11 @@
 	r := runMutant(t, w, restart, (*baselinePolicy).newestStarted, nil)
 	expectOnly(t, r, 4)
 
-	// Session reads are sent to replicas that are behind.
+	// The policy sends session reads to replicas that are behind.
 	w = smallWorld()
 	w.OpTypes[0].Need = "any"
-	expectOnly(t, runMutant(t, w, []Fault{{Kind: "slow_apply", At: time.Second, Share: 1, Of: "replicas"}}, (*baselinePolicy).roundRobin, nil), 5)
+	expectOnly(t, runMutant(t, w, []Fault{{Kind: "slow_apply", At: time.Second, Share: 1, Of: "replicas"}},
+		(*baselinePolicy).roundRobin, nil), 5)
 }
 
 // drainIgnoringPolicy takes draining servers for ready ones.
@@ -214,7 +217,7 @@
 	}
 }
 
-// roundRobinFresh picks members in turn whose true position is new enough.
+// roundRobinFresh picks for reads the warm members in turn whose true position is new enough.
 func (p *baselinePolicy) roundRobinFresh(o *baselineOp) *server {
 	if p.primaryOnly(o) {
 		return p.primary(o)
@@ -234,7 +237,7 @@
 	return nil
 }
 
-// newestStarted picks for reads the member that started last.
+// newestStarted picks for reads the member that started last among those whose true position is new enough.
 func (p *baselinePolicy) newestStarted(o *baselineOp) (best *server) {
 	if p.primaryOnly(o) {
 		return p.primary(o)
@@ -267,7 +270,8 @@
 		lognormalSquares += x * x
 	}
 	mean, deviation := lognormals/n, math.Sqrt(lognormalSquares/n-lognormals/n*lognormals/n)
-	if math.Abs(sum/n-0.5) > 0.003 || math.Abs(exponentials/n-1) > 0.01 || math.Abs(mean-1) > 0.01 || math.Abs(deviation-0.8) > 0.03 {
+	if math.Abs(sum/n-0.5) > 0.003 || math.Abs(exponentials/n-1) > 0.01 || math.Abs(mean-1) > 0.01 ||
+		math.Abs(deviation-0.8) > 0.03 {
 		t.Errorf("got means %v %v %v and deviation %v, want 0.5 1 1 and 0.8", sum/n, exponentials/n, mean, deviation)
 	}
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -8,17 +8,17 @@
 	"gorsewell/choice"
 )
 
-// condition is the state of a server's process or machine.
+// condition is the state of a server's process and machine.
 type condition uint8
 
 const (
-	serverUp         condition = iota
-	serverCrashed              // the process has ended: connections are reset, new ones refused
-	serverVanished             // the machine does not answer at all
-	serverOverloaded           // the process has crashed because it was overloaded while cold
+	serverUp         condition = iota // the process runs
+	serverCrashed                     // the process has ended: connections are reset and new ones refused
+	serverVanished                    // the machine does not answer at all
+	serverOverloaded                  // the process has crashed because it was overloaded while cold
 )
 
-// server is one database server. It works on as many ops at a time as it has cores, in order of arrival.
+// server is one database server. It works on one op per core at a time, in the order in which they arrive.
 type server struct {
 	sim   *simulation
 	id    uint32
@@ -29,43 +29,43 @@
 	speed float64 // of a core when warm, drawn for the run
 
 	state           condition
-	draining        bool
-	hung            bool
+	draining        bool          // it refuses new ops and ends soon
+	hung            bool          // it accepts ops but answers none
 	slowdown        float64       // factor on the time of all work, 1 without faults
 	errorShare      float64       // share of ops that end in an error
 	refusing        bool          // it refuses all ops as if it were full
 	probeErrorShare float64       // share of probes that fail although ops are served
-	positionLead    time.Duration // by which the reported position is ahead of the true one
+	positionLead    time.Duration // time by which the reported position is ahead of the true one
 	applySlowdown   float64       // factor on the time that applying the log takes, 1 without faults
-	connectionLimit int           // replaces Servers.Conns unless 0
-	startedAt       time.Duration // longAgo: before the run
-	generation      int           // number of starts and crashes; what belongs to an earlier one has no effect
+	connectionLimit int           // limit in place of Servers.Conns, unless 0
+	startedAt       time.Duration // time of the last start; longAgo: before the run
+	generation      int           // number of starts and crashes; events of an earlier generation have no effect
 
-	busyCores       int
+	busyCores       int        // cores that work on an op
 	queue           []*attempt // attempts that wait for a core
-	deferred        []func()   // what waits until a hung server resumes
-	openConnections int        // connections of all gateways
-	openAttempts    int        // attempts without a result so far, for the oracle
+	deferred        []func()   // events that wait until a hung server resumes
+	openConnections int        // connections with all gateways
+	openAttempts    int        // attempts of all gateways without a result so far, for the oracle
 
 	// The log, on a replica: times of the commits that are shipped but not applied, oldest first.
 	backlog      []time.Duration
 	applying     bool          // the oldest commit of the backlog is being applied
-	appliedTo    time.Duration // time of the newest commit applied
+	appliedTo    time.Duration // time of the newest commit that has been applied
 	applyHolds   int           // running reads that keep the log from being applied
 	waitingReads []*attempt    // reads that wait until the position is new enough
 	wasPrimary   bool          // it is or was the primary at some time
 
-	// Work that arrived during the last Rules.FallTime while the server was cold, for rule 4 and to decide whether the
-	// server crashes.
+	// Work that arrived during the last Rules.FallTime while the server was cold, which decides whether the server crashes
+	// and whether rule 4 is violated.
 	coldWindow  []coldWork
-	coldWorkSum float64
+	coldWorkSum float64 // sum of coldWindow, in nanoseconds of a core of speed 1
 }
 
 // coldWork is work that arrived at a cold server.
 type coldWork struct {
 	at         time.Duration
-	work       float64
-	startKnown bool // its gateway knew of the server's start, or counts as knowing it
+	work       float64 // in nanoseconds of a core of speed 1
+	startKnown bool    // its gateway knew of the server's start, or counts as knowing it
 }
 
 func (s *server) isUp() bool { return s.state == serverUp }
@@ -79,12 +79,12 @@
 	return min(1, settings.ColdFrom+(1-settings.ColdFrom)*float64(now-s.startedAt)/float64(max(1, settings.ColdTime)))
 }
 
-// currentSpeed returns the work, in seconds of a core of speed 1, that one of its cores now does in a second.
+// currentSpeed returns the present speed of one of the server's cores, compared to a core of speed 1.
 func (s *server) currentSpeed() float64 { return s.speed * s.speedShare(s.sim.now) / s.slowdown }
 
 func (s *server) isPrimary() bool { return s.group.primary == s }
 
-// role returns the role that the server reports.
+// role returns the role of the server, which it also reports.
 func (s *server) role() choice.Role {
 	if s.isPrimary() {
 		return choice.Primary
@@ -92,14 +92,14 @@
 	return choice.Replica
 }
 
-// position returns the time up to which the server's data reach: the present for a primary. For a replica, it is what
-// it has applied or, with nothing left to apply, what the primary can have shipped by now.
+// position returns the time up to which the server's data includes all commits: now for a primary. For a replica it is
+// just before the oldest unapplied commit or, with an empty backlog, the time up to which commits have been shipped.
 func (s *server) position() time.Duration {
 	if s.isPrimary() {
 		return s.sim.now
 	}
 	if len(s.backlog) > 0 {
-		return max(s.appliedTo, s.backlog[0]-1) // everything before the oldest unapplied commit is there
+		return max(s.appliedTo, s.backlog[0]-1) // all commits before the oldest unapplied one are applied
 	}
 	if p := s.group.primary; p != nil && p.isUp() && !p.hung {
 		return max(s.appliedTo, s.sim.now-s.sim.world.Log.Ship)
@@ -107,7 +107,7 @@
 	return max(s.appliedTo, s.group.primaryLostAt-s.sim.world.Log.Ship)
 }
 
-// reportedPosition returns the position that the server reports, which the fault lying_position falsifies.
+// reportedPosition returns the position that the server reports, which the fault lying_position moves ahead.
 func (s *server) reportedPosition() time.Duration { return s.position() + s.positionLead }
 
 // commit is called when the primary has committed a write.
@@ -123,7 +123,7 @@
 	}
 }
 
-// keptCommits is the number of commits of a group that are kept for members that come back.
+// keptCommits is the least number of newest commits of a group that are kept for members that come back.
 const keptCommits = 4096
 
 // ship sends a commit to the replica.
@@ -137,7 +137,8 @@
 	})
 }
 
-// apply applies the next commit of the backlog, unless something prevents that.
+// apply applies the backlog, one commit at a time, unless that is under way already, a read holds it up or the server
+// is hung, down or the primary.
 func (s *server) apply() {
 	if s.applying || len(s.backlog) == 0 || s.applyHolds > 0 || !s.isUp() || s.hung || s.isPrimary() {
 		return
@@ -161,7 +162,7 @@
 	})
 }
 
-// serveWaitingReads begins the reads whose position has been reached.
+// serveWaitingReads begins the waiting reads for which the position is new enough by now.
 func (s *server) serveWaitingReads() {
 	waiting := s.waitingReads
 	s.waitingReads = nil
@@ -174,7 +175,7 @@
 	}
 }
 
-// arrive handles an attempt that has been received in full. It is not called if the server is down.
+// arrive handles an attempt that has been received. It is not called if the server is down.
 func (s *server) arrive(a *attempt) {
 	if s.hung {
 		s.deferred = append(s.deferred, func() { s.arrive(a) })
@@ -182,7 +183,7 @@
 	}
 	settings := &s.sim.world.Servers
 	s.countColdWork(a)
-	if !s.isUp() { // the attempt has just overloaded it
+	if !s.isUp() { // the attempt has overloaded it, and it has crashed
 		return
 	}
 	isWrite := a.opType.need == choice.Write
@@ -242,7 +243,8 @@
 			s.begin(next)
 		}
 	}
-	failed := s.errorShare > 0 && draw(s.sim.seed, 0xfa17, a.request.id, uint64(a.op.gateway.index), uint64(a.number)) < s.errorShare
+	failed := s.errorShare > 0 &&
+		draw(s.sim.seed, 0xfa17, a.request.id, uint64(a.op.gateway.index), uint64(a.number)) < s.errorShare
 	if a.opType.need == choice.Write {
 		switch {
 		case !s.isPrimary(): // it lost the role during the work
@@ -262,7 +264,7 @@
 	s.reply(a, choice.Acked)
 }
 
-// reply sends the answer to an attempt.
+// reply sends the answer to an attempt, with the role and the position if Reports.Answers.
 func (s *server) reply(a *attempt, result choice.Result) {
 	role, pos := choice.RoleUnknown, choice.LongPast
 	if s.sim.world.Reports.Answers {
@@ -271,8 +273,8 @@
 	s.sim.returnAnswer(a, result, role, pos)
 }
 
-// countColdWork counts the work that arrives at a cold server, and crashes the server if that is too much. It is a
-// violation of rule 4 if the gateways knew of the start for two thirds of the work.
+// countColdWork counts the work that arrives at a cold server, and crashes the server if that is too much. The crash is
+// a violation of rule 4 if at least two thirds of the work came from gateways that knew of the start.
 func (s *server) countColdWork(a *attempt) {
 	if s.startedAt <= longAgo || s.sim.world.Rules.Overload <= 0 || s.speedShare(s.sim.now) >= 1 {
 		return
@@ -284,9 +286,10 @@
 		s.coldWorkSum -= s.coldWindow[0].work
 		s.coldWindow = s.coldWindow[1:]
 	}
-	// The capacity is the mean over the window, taken at its middle.
-	capacity := float64(s.cores) * s.speed * s.speedShare(max(s.startedAt, s.sim.now-rules.FallTime/2)) * float64(rules.FallTime)
-	slack := 4 * float64(s.sim.meanWork) // so that random bursts alone crash no server
+	// The mean capacity over the window is taken to be that at its middle, as the speed grows linearly.
+	capacity := float64(s.cores) * s.speed *
+		s.speedShare(max(s.startedAt, s.sim.now-rules.FallTime/2)) * float64(rules.FallTime)
+	slack := 4 * float64(s.sim.meanWork) // so that random bursts alone do not crash a server
 	if s.coldWorkSum <= rules.Overload*capacity+slack {
 		return
 	}
@@ -298,13 +301,13 @@
 	}
 	s.sim.recordEvent("server %d pushed over while cold", s.id)
 	if knownWork >= s.coldWorkSum*2/3 {
-		s.sim.checker.recordViolation(4, a.op, fmt.Sprintf("server %d was sent %v of work in %v, %.1f times what it can do", s.id,
-			time.Duration(s.coldWorkSum).Round(time.Millisecond), rules.FallTime, s.coldWorkSum/capacity))
+		s.sim.checker.recordViolation(4, a.op, fmt.Sprintf("server %d was sent %v of work in %v, %.1f times what it can do",
+			s.id, time.Duration(s.coldWorkSum).Round(time.Millisecond), rules.FallTime, s.coldWorkSum/capacity))
 	}
 	s.crash(serverOverloaded)
 }
 
-// crash ends the process or, as serverVanished, the machine.
+// crash takes a server down. state says how: a process ends with resets, a vanished machine without notice.
 func (s *server) crash(state condition) {
 	if !s.isUp() {
 		return
@@ -319,7 +322,7 @@
 	s.sim.discovery.serverChanged(s)
 }
 
-// start brings a server back, cold, with its log at the position that it had.
+// start restarts a server that is down. It is cold, and its log is at the position that it had.
 func (s *server) start() {
 	if s.isUp() {
 		return
@@ -354,7 +357,7 @@
 	s.apply()
 }
 
-// drain makes a server refuse new ops. After Servers.Drain it ends.
+// drain makes a server refuse new ops and hand over the role of primary. After Servers.Drain its process ends.
 func (s *server) drain() {
 	s.draining = true
 	s.group.handOver(s)
@@ -367,8 +370,8 @@
 	})
 }
 
-// capacity returns the work that the server does in a second when it is warm and without faults.
+// capacity returns the speed of all cores together when the server is warm and without faults.
 func (s *server) capacity() float64 { return float64(s.cores) * s.speed }
 
-// longAgo stands for a start before the run.
+// longAgo stands for a time before the run, such as that of a server's start.
 const longAgo = time.Duration(math.MinInt64 / 4)
--- a/internal/emulator/valid.go
+++ b/internal/emulator/valid.go
@@ -9,7 +9,7 @@
 	"gorsewell/internal/yamlfile"
 )
 
-// Valid reports what is invalid in a world that stands under a key of a file.
+// Valid adds the problems of a world to the file from which it was read. key is the key of the world in that file.
 func (w *World) Valid(f *yamlfile.File, key string) {
 	at := func(name string) string { return key + "." + name }
 	positive := func(name string, v float64) {
@@ -34,7 +34,7 @@
 	}
 	positive("length", float64(w.Length))
 	if w.Length > 24*time.Hour {
-		f.AddProblem(at("length"), "%v is more than a day", w.Length)
+		f.AddProblem(at("length"), "%v is more than 24h", w.Length)
 	}
 	within("zones", w.Zones, 200)
 	within("gateways.count", w.Gateways.Count, 1000)
@@ -45,7 +45,7 @@
 	within("servers.groups", w.Servers.Groups, 4000)
 	within("servers.members", w.Servers.Members, 32)
 	if n := w.Servers.Groups * w.Servers.Members; n > 20000 {
-		f.AddProblem(at("servers.groups"), "%d servers in all are more than 20000", n)
+		f.AddProblem(at("servers.groups"), "groups times members makes %d servers, want at most 20000", n)
 	}
 	within("servers.queue", w.Servers.Queue, 1<<20)
 	if len(w.Servers.Kinds) == 0 {
@@ -59,8 +59,9 @@
 		f.AddProblem(at("servers.speed_spread"), "%v is not from 0 to less than 1", w.Servers.Spread)
 	}
 	share("servers.cold_from", w.Servers.ColdFrom)
-	for name, v := range map[string]float64{"network.loss": w.Network.Loss, "network.twice": w.Network.Twice, "network.reorder": w.Network.Reorder,
-		"clients.honour": w.Clients.Honour, "clients.patience": w.Clients.Patience, "clients.roam": w.Clients.Roam,
+	for name, v := range map[string]float64{"network.loss": w.Network.Loss, "network.twice": w.Network.Twice,
+		"network.reorder": w.Network.Reorder, "clients.honour": w.Clients.Honour, "clients.patience": w.Clients.Patience,
+		"clients.roam":    w.Clients.Roam,
 		"clients.follows": w.Clients.Follows, "load.skew": w.Load.Skew} {
 		share(name, v)
 	}
@@ -105,55 +106,55 @@
 	}
 }
 
-// check returns the problems of a world that stands in no file.
+// check returns the problems of a world that was not read from a file.
 func (w *World) check() error {
 	f := yamlfile.Read("world", nil, &struct{}{})
 	w.Valid(f, "world")
 	return f.Err()
 }
 
-// ValidFaults reports what is invalid in faults that stand under a key of a file.
+// ValidFaults adds the problems of faults to the file from which they were read. key is the key of their list.
 func ValidFaults(f *yamlfile.File, key string, faults []Fault, w *World) {
 	names, _ := FaultKinds()
-	for i, x := range faults {
+	for i, fault := range faults {
 		at := fmt.Sprintf("%s[%d]", key, i)
-		if faultKinds[x.Kind] == nil {
-			f.AddProblem(at+".kind", "unknown kind of fault %q, want one of %s", x.Kind, strings.Join(names, ", "))
+		if faultKinds[fault.Kind] == nil {
+			f.AddProblem(at+".kind", "unknown kind of fault %q, want one of %s", fault.Kind, strings.Join(names, ", "))
 			continue
 		}
-		if x.Share < 0 || x.Share > 1 {
-			f.AddProblem(at+".share", "%v is not a share from 0 to 1", x.Share)
+		if fault.Share < 0 || fault.Share > 1 {
+			f.AddProblem(at+".share", "%v is not a share from 0 to 1", fault.Share)
 		}
-		if x.Count < 0 || x.Size < 0 || x.For < 0 || x.Back < 0 || x.Every < 0 {
+		if fault.Count < 0 || fault.Size < 0 || fault.For < 0 || fault.Back < 0 || fault.Every < 0 {
 			f.AddProblem(at, "count, size, for, back and every must be 0 or more")
 		}
-		if x.At > w.Length {
-			f.AddProblem(at+".at", "%v is after the end of the run at %v", x.At, w.Length)
+		if fault.At > w.Length {
+			f.AddProblem(at+".at", "%v is after the end of the run at %v", fault.At, w.Length)
 		}
-		if !slices.Contains([]string{"", "all", "primaries", "replicas"}, x.Of) {
-			f.AddProblem(at+".of", "%q is not one of all, primaries and replicas", x.Of)
+		if !slices.Contains([]string{"", "all", "primaries", "replicas"}, fault.Of) {
+			f.AddProblem(at+".of", "%q is not one of all, primaries and replicas", fault.Of)
 		}
-		if x.Zone < 0 || x.Zone > w.Zones {
-			f.AddProblem(at+".zone", "%d is not one of the %d zones, which count from 1", x.Zone, w.Zones)
+		if fault.Zone < 0 || fault.Zone > w.Zones {
+			f.AddProblem(at+".zone", "%d is not one of the %d zones, which count from 1", fault.Zone, w.Zones)
 		}
-		if x.Group < 0 || x.Group > w.Servers.Groups {
-			f.AddProblem(at+".group", "%d is not one of the %d groups, which count from 1", x.Group, w.Servers.Groups)
+		if fault.Group < 0 || fault.Group > w.Servers.Groups {
+			f.AddProblem(at+".group", "%d is not one of the %d groups, which count from 1", fault.Group, w.Servers.Groups)
 		}
-		if x.Every > 0 && x.Every < 100*time.Millisecond {
-			f.AddProblem(at+".every", "%v is less than 100ms", x.Every)
+		if fault.Every > 0 && fault.Every < 100*time.Millisecond {
+			f.AddProblem(at+".every", "%v is less than 100ms", fault.Every)
 		}
-		variants := map[string][]string{"liar": append(slices.Clone(LiarVariants), "", "mixed"), "one_sided": {"", "answers", "sends"},
-			"partition": {"", "one_way"}}[x.Kind]
+		variants := map[string][]string{"liar": append(slices.Clone(LiarVariants), "", "mixed"),
+			"one_sided": {"", "answers", "sends"}, "partition": {"", "one_way"}}[fault.Kind]
 		if variants == nil {
 			variants = []string{""}
 		}
-		if !slices.Contains(variants, x.How) {
-			f.AddProblem(at+".how", "%q is not a variant of %s", x.How, x.Kind)
+		if !slices.Contains(variants, fault.How) {
+			f.AddProblem(at+".how", "%q is not a variant of %s", fault.How, fault.Kind)
 		}
 		shares := map[string]bool{"error": true, "probe_fail": true, "neighbour": true, "one_sided": true, "partition": true,
 			"network": true, "deploy": true}
-		if shares[x.Kind] && x.Size > 1 {
-			f.AddProblem(at+".size", "%v is not a share from 0 to 1", x.Size)
+		if shares[fault.Kind] && fault.Size > 1 {
+			f.AddProblem(at+".size", "%v is not a share from 0 to 1", fault.Size)
 		}
 	}
 }
